--- a/drill/codec.cpp
+++ b/drill/codec.cpp
@@ -75,7 +75,8 @@
         in.fail("unknown state of a directory entry before");
     }
     in.real();  // capacity hint
-    if (const auto started = in.number<std::uint64_t>(); started != 0) entry.started = Time{micros(started)};
+    if (const auto started = in.number<std::uint64_t>(); started != 0)
+      entry.started_at = Time{micros(started)};
   }
   return entries;
 }
@@ -86,14 +87,14 @@
   const auto bits = in.number<std::uint8_t>();
   call.redialled = (bits & 2) != 0;
   call.in_transit = (bits & 8) != 0;
-  call.cut_before = (bits & 16) != 0;
+  call.was_cut_off = (bits & 16) != 0;
   call.traffic_class = in.number<std::uint16_t>();
   call.circuits = in.real();
   call.time_left = micros(in.number<std::uint32_t>());
   in.number<std::uint32_t>();  // tenant
   call.destination = exchange_number(in.real());
   in.number<std::uint32_t>();  // work expected
-  call.number_called = in.number<std::uint64_t>();
+  call.called_number = in.number<std::uint64_t>();
   call.tandem = exchange_number(in.real());
   return call;
 }
@@ -106,41 +107,41 @@
   return figures;
 }
 
-Result read_result(Reader& in) {
+AttemptResult read_result(Reader& in) {
   switch (in.number<std::uint8_t>()) {
     case 10:
-      return Result::ended;
+      return AttemptResult::ended;
     case 20:
-      return Result::error;
+      return AttemptResult::error;
     case 30:
-      return Result::not_set_up;
+      return AttemptResult::not_set_up;
     case 40:
-      return Result::timed_out;
+      return AttemptResult::timed_out;
     case 50:
-      return Result::connect_failed;
+      return AttemptResult::connect_failed;
     case 60:
-      return Result::reset;
+      return AttemptResult::reset;
     case 70:
-      return Result::cancelled;
+      return AttemptResult::cancelled;
     case 80:
-      return Result::not_sent;
+      return AttemptResult::not_sent;
     default:
       in.fail("unknown result before");
   }
 }
 
-Cause cause_of(std::uint32_t code) {
+FailureCause cause_of(std::uint32_t code) {
   switch (code % 16) {
     case 1:
-      return Cause::no_circuit;
+      return FailureCause::no_circuit;
     case 2:
-      return code == 18 ? Cause::turned_back_processor_full : Cause::turned_back;
+      return code == 18 ? FailureCause::destination_processor_full : FailureCause::tandem_refused;
     case 3:
-      return Cause::processor_full;
+      return FailureCause::processor_full;
     case 4:
-      return Cause::number_busy;
+      return FailureCause::number_busy;
     default:
-      return Cause::none;
+      return FailureCause::none;
   }
 }
 
@@ -152,10 +153,10 @@
   event.exchange.value = in.number<std::uint32_t>();
   event.result = read_result(in);
   event.elapsed = micros(in.number<std::uint32_t>());
-  event.call_over = in.number<std::uint8_t>() != 0;
+  event.call_finished = in.number<std::uint8_t>() != 0;
   const auto code = in.number<std::uint32_t>();
   event.cause = cause_of(code);
-  if (event.cause == Cause::processor_full) event.wait_hint = std::chrono::milliseconds{code / 16};
+  if (event.cause == FailureCause::processor_full) event.wait_hint = std::chrono::milliseconds{code / 16};
   raw.figures = read_figures(in);
   return raw;
 }
@@ -180,7 +181,7 @@
 
   void code(std::uint8_t value) { put(out, value); }
   void operator()(const SendSetUp& a) {
-    code(10), put(out, a.call.value), put(out, wire_time(a.give_up_at)), put(out, a.exchange.value);
+    code(10), put(out, a.call.value), put(out, wire_time(a.deadline)), put(out, a.exchange.value);
   }
   void operator()(const Refuse& a) {
     const auto wait = std::clamp<std::int64_t>(a.retry_after.count(), 0, 0xffffffffLL);
@@ -272,7 +273,7 @@
       case 80: {
         ExchangeReportRaw raw;
         raw.event.exchange.value = in.number<std::uint32_t>();
-        raw.event.ok = in.number<std::uint8_t>() == 10;
+        raw.event.succeeded = in.number<std::uint8_t>() == 10;
         raw.event.elapsed = micros(in.number<std::uint32_t>());
         raw.figures = read_figures(in);
         event = std::move(raw);
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -75,7 +75,7 @@
     if (zones[i] == zone) out.entry.region = static_cast<std::uint8_t>(i);
   }
   const double since = from.number("since_ms", 0, 1e15, 0);
-  if (since > 0) out.entry.started = module_time(since);
+  if (since > 0) out.entry.started_at = module_time(since);
   return out;
 }
 
@@ -189,7 +189,7 @@
   for (std::uint32_t i = 0; i < config.settings.classes.size(); ++i) {
     const auto& each = config.settings.classes[i];
     config.classes[each.name] = i;
-    config.longest_give_up_ms = std::max(config.longest_give_up_ms, to_ms(each.give_up));
+    config.longest_give_up_ms = std::max(config.longest_give_up_ms, to_ms(each.give_up_after));
   }
   if (settings.find("limits") != nullptr) {
     config.connect_timeout_ms =
--- a/src/config/convert.cpp
+++ b/src/config/convert.cpp
@@ -43,9 +43,9 @@
       auto& out = *site_.add_class_();
       out.set_name(each.name);
       out.set_worth(each.worth);
-      if (each.late_share > 0) out.set_late_share(units::share_text(each.late_share));
-      out.set_aim(units::duration_text(to_ms(each.aim)));
-      out.set_give_up(units::duration_text(to_ms(each.give_up)));
+      if (each.late_worth_share > 0) out.set_late_share(units::share_text(each.late_worth_share));
+      out.set_aim(units::duration_text(to_ms(each.set_up_objective)));
+      out.set_give_up(units::duration_text(to_ms(each.give_up_after)));
     }
   }
 
@@ -111,12 +111,13 @@
 
   void decisions() {
     auto& out = *site_.mutable_decisions();
-    out.set_routers(settings_.controllers);
+    out.set_routers(settings_.controller_count);
     const auto attempts = std::min(settings_.attempt_limit, most_attempts_ever);
     out.set_attempts(attempts);
     const double wait = to_ms(settings_.release_wait) - socket_slack_ms;
     if (wait > 0) out.set_release_wait(units::duration_text(wait));
-    if (settings_.step > Duration{0}) out.set_step(units::duration_text(to_ms(settings_.step)));
+    if (settings_.batch_interval > Duration{0})
+      out.set_step(units::duration_text(to_ms(settings_.batch_interval)));
     out.set_cancelling(settings_.cancelling);
     if (settings_.start_capacity < 1) out.set_start_capacity(units::share_text(settings_.start_capacity));
     if (settings_.cold_time > Duration{0})
@@ -146,7 +147,7 @@
       for (const auto& [number, pool] : pools_) {
         if (number != first) route.add_to()->set_pool(pool);
       }
-      const double give_up = to_ms(kind->give_up);
+      const double give_up = to_ms(kind->give_up_after);
       const double deadline = each.number("deadline_ms", 100, 60000, give_up);
       if (deadline == give_up) continue;
       const auto text = units::duration_text(deadline);
--- a/src/config/settings_reader.cpp
+++ b/src/config/settings_reader.cpp
@@ -75,9 +75,9 @@
   Keys keys_;
 };
 
-Effect effect_of(const std::string& name) {
-  if (name == "side_effect") return Effect::once;
-  return name == "token" ? Effect::keyed : Effect::repeatable;
+Idempotency idempotency_of(const std::string& name) {
+  if (name == "side_effect") return Idempotency::not_idempotent;
+  return name == "token" ? Idempotency::keyed : Idempotency::idempotent;
 }
 
 }  // namespace
@@ -101,14 +101,14 @@
     ClassSettings c;
     c.name = keys.find(prefix + "name").value_or("class-" + std::to_string(i));
     c.worth = keys.number(prefix + "importance");
-    c.late_share = keys.number(prefix + "late_value", 0);
-    c.aim = Duration{keys.count(prefix + "objective_us", 0xffffffff)};
-    c.give_up = Duration{keys.count(prefix + "give_up_us", 0xffffffff)};
-    c.effect = effect_of(keys.find(prefix + "effect").value_or("pure"));
+    c.late_worth_share = keys.number(prefix + "late_value", 0);
+    c.set_up_objective = Duration{keys.count(prefix + "objective_us", 0xffffffff)};
+    c.give_up_after = Duration{keys.count(prefix + "give_up_us", 0xffffffff)};
+    c.idempotency = idempotency_of(keys.find(prefix + "effect").value_or("pure"));
     if (i < circuits.size()) c.circuits = KeyReader::to_number("specifics.circuits_by_class", circuits[i]);
     if (i < lengths.size()) {
       const auto length = KeyReader::to_number("specifics.call_length_us", lengths[i]);
-      c.mean_length = Duration{static_cast<std::int64_t>(std::clamp(length, 0.0, 1e15))};
+      c.mean_holding_time = Duration{static_cast<std::int64_t>(std::clamp(length, 0.0, 1e15))};
     }
     const std::string pools_key = "specifics.skilled_pools." + std::to_string(i);
     for (const auto& pool : keys.list(pools_key)) {
@@ -116,25 +116,26 @@
     }
     s.classes.push_back(std::move(c));
   }
-  s.pools = keys.text("specifics.network_form") == "groups";
-  s.home = static_cast<ExchangeNumber>(std::clamp(keys.number("specifics.home_no", -1), -1.0, 65535.0));
-  s.controllers = keys.count("balancers", 1000000);
+  s.uses_pools = keys.text("specifics.network_form") == "groups";
+  s.home_exchange =
+      static_cast<ExchangeNumber>(std::clamp(keys.number("specifics.home_no", -1), -1.0, 65535.0));
+  s.controller_count = keys.count("balancers", 1000000);
   s.release_wait = keys.time("specifics.guard_us", 0);
   s.resend_after = keys.time("specifics.resend_us", 0);
-  s.step = keys.time("step_us", 0);
+  s.batch_interval = keys.time("step_us", 0);
   s.start_capacity = keys.number("invariants.start_capacity", 1);
   s.cold_time = keys.time("invariants.cold_us", 0);
-  s.fall_multiple = keys.number("invariants.fall_multiple", 1);
-  s.fall_time = keys.time("invariants.overload_for_us", 0);
+  s.overload_multiple = keys.number("invariants.fall_multiple", 1);
+  s.overload_duration = keys.time("invariants.overload_for_us", 0);
   s.attempt_limit = keys.count("limits.try_limit", 65535);
-  s.longest_retry_advice = keys.time("limits.max_retry_after_us", 0);
-  s.retry_advice = keys.flag("limits.retry_after");
+  s.max_retry_after = keys.time("limits.max_retry_after_us", 0);
+  s.sends_retry_after = keys.flag("limits.retry_after");
   s.cancelling = keys.flag("limits.cancelling");
   s.probes = keys.flag("limits.probes");
   s.peer_messages = keys.flag("limits.peers");
-  s.must_ask_directory = keys.find("discovery") == "ask";
-  s.route_advice = keys.flag("specifics.hints_route");
-  s.wait_hint = keys.flag("specifics.retry_hint");
+  s.directory_by_subscription = keys.find("discovery") == "ask";
+  s.tandem_advice = keys.flag("specifics.hints_route");
+  s.has_wait_hints = keys.flag("specifics.retry_hint");
   return parsed;
 }
 
@@ -146,11 +147,11 @@
     if (name == "spare") report.free_circuits = value;
     if (name == "total") report.total_circuits = value;
     if (name == "utilization") report.utilisation = value;
-    if (name == "backlog") report.queue = value;
-    if (name == "outstanding") report.outstanding = value;
-    if (name == "recent_ms") report.wait_ms = value;
-    if (name == "allowed") report.allowed_rate = value;
-    if (name == "cut_by") report.hold_back = value;
+    if (name == "backlog") report.queued_set_ups = value;
+    if (name == "outstanding") report.outstanding_messages = value;
+    if (name == "recent_ms") report.queue_wait_ms = value;
+    if (name == "allowed") report.allowed_set_ups_per_second = value;
+    if (name == "cut_by") report.requested_shed_share = value;
   }
   return report;
 }
--- a/src/config/site_diff.cpp
+++ b/src/config/site_diff.cpp
@@ -105,12 +105,12 @@
   void decisions() {
     const auto &a = a_.settings, &b = b_.settings;
     const std::string subject = "decisions";
-    value("decisions", subject, "routers", std::to_string(a.controllers), std::to_string(b.controllers),
-          true);
+    value("decisions", subject, "routers", std::to_string(a.controller_count),
+          std::to_string(b.controller_count), true);
     value("decisions", subject, "attempts", std::to_string(a.attempt_limit), std::to_string(b.attempt_limit),
           true);
     time("decisions", subject, "release_wait", a.release_wait, b.release_wait, true);
-    time("decisions", subject, "step", a.step, b.step, true);
+    time("decisions", subject, "step", a.batch_interval, b.batch_interval, true);
     value("decisions", subject, "cancelling", a.cancelling ? "true" : "false",
           b.cancelling ? "true" : "false", true);
     value("decisions", subject, "start_capacity", units::share_text(a.start_capacity),
@@ -137,10 +137,10 @@
               [this](const std::string& subject, const auto& a, const auto& b) {
                 value("class", subject, "worth", units::number_text(a.worth), units::number_text(b.worth),
                       true);
-                value("class", subject, "late_share", units::share_text(a.late_share),
-                      units::share_text(b.late_share), true);
-                time("class", subject, "aim", a.aim, b.aim, true);
-                time("class", subject, "give_up", a.give_up, b.give_up, true);
+                value("class", subject, "late_share", units::share_text(a.late_worth_share),
+                      units::share_text(b.late_worth_share), true);
+                time("class", subject, "aim", a.set_up_objective, b.set_up_objective, true);
+                time("class", subject, "give_up", a.give_up_after, b.give_up_after, true);
               });
     if (!a_.has_front || !b_.has_front) return;
     // Which numbers are of which class, by the effect and not by who says it.
--- a/src/config/site_reader.cpp
+++ b/src/config/site_reader.cpp
@@ -360,7 +360,7 @@
     const auto index = static_cast<std::uint32_t>(config_.settings.classes.size());
     if (!name(node, classes_, index, out.name)) return;
     out.worth = number(node, "worth", 1e6, 1);
-    out.late_share = share(node, "late_share", 0, 0);
+    out.late_worth_share = share(node, "late_share", 0, 0);
     const double aim = duration(node, "aim", 1, 60 * second, second);
     const double give_up = duration(node, "give_up", least_deadline_ms, most_deadline_ms, 2 * second);
     if (aim > give_up) {
@@ -368,8 +368,8 @@
             units::duration_text(give_up) + " is shorter than the aim of " + units::duration_text(aim),
             "the aim or longer");
     }
-    out.aim = to_duration(aim);
-    out.give_up = to_duration(give_up);
+    out.set_up_objective = to_duration(aim);
+    out.give_up_after = to_duration(give_up);
     const auto& message = static_cast<const config::v1::Class&>(*node.message);
     for (int i = 0; i < message.prefix_size(); ++i) {
       const auto& prefix = message.prefix(i);
@@ -561,7 +561,7 @@
     node.key = "handshakes";
     if (const auto* from = single("handshakes")) node = from->inner("handshakes", -1);
     auto& out = config_.handshakes;
-    out.routers = config_.settings.controllers;
+    out.routers = config_.settings.controller_count;
     out.share = share(node, "share", 0.01, out.share);
     out.full_cost = duration(node, "full_cost", 0.01, second, out.full_cost);
     out.resumed_cost = duration(node, "resumed_cost", 0.01, second, out.resumed_cost);
@@ -576,12 +576,12 @@
     node.key = "decisions";
     if (const auto* from = single("decisions")) node = from->inner("decisions", -1);
     auto& out = config_.settings;
-    out.pools = true;
-    out.controllers = count(node, "routers", 1, 1000000, 1);
+    out.uses_pools = true;
+    out.controller_count = count(node, "routers", 1, 1000000, 1);
     out.attempt_limit = count(node, "attempts", 1, most_attempts_ever, most_attempts_ever);
     // Rule: on sockets the limits of time are longer by this; the module plans its retries by it.
     out.release_wait = to_duration(duration(node, "release_wait", 0, 60 * second, 0) + socket_slack_ms);
-    out.step = to_duration(duration(node, "step", 0, second, 5));
+    out.batch_interval = to_duration(duration(node, "step", 0, second, 5));
     out.cancelling = true;
     if (node.has("cancelling")) {
       out.cancelling = node.message->GetReflection()->GetBool(*node.message, node.field("cancelling"));
@@ -713,7 +713,7 @@
     double deadline = policy.deadline_ms;
     for (const auto& each : config_.settings.classes) {
       if (policy.deadline_ms == 0) {
-        deadline = deadline == 0 ? to_ms(each.give_up) : std::min(deadline, to_ms(each.give_up));
+        deadline = deadline == 0 ? to_ms(each.give_up_after) : std::min(deadline, to_ms(each.give_up_after));
       }
     }
     const double waits = policy.retry_wait_ms * (policy.attempts - 1);
@@ -985,7 +985,7 @@
 }  // namespace
 
 double EnumConfig::deadline_ms(const Policy& policy, std::uint32_t traffic_class) const {
-  return policy.deadline_ms > 0 ? policy.deadline_ms : to_ms(settings.classes[traffic_class].give_up);
+  return policy.deadline_ms > 0 ? policy.deadline_ms : to_ms(settings.classes[traffic_class].give_up_after);
 }
 
 EnumConfig read_site(const std::string& path, Faults& faults, std::vector<Note>* notes) {
--- a/src/core/router.cpp
+++ b/src/core/router.cpp
@@ -52,8 +52,8 @@
   call.tandem = request.advised;
   call.in_transit = request.in_transit;
   call.redialled = request.redialled;
-  call.cut_before = request.cut_before;
-  call.number_called = request.number_called;
+  call.was_cut_off = request.cut_before;
+  call.called_number = request.number_called;
   call.routed = request.routed;
   call.alternates = request.alternates;
   call.attempt_limit = request.most_attempts;
@@ -98,7 +98,7 @@
   const auto attempt = open->attempt;
   open->front = nullptr;  // it said so itself
   carrier_->release(attempt);
-  finish_attempt(attempt, {.result = Result::cancelled});
+  finish_attempt(attempt, {.result = AttemptResult::cancelled});
 }
 
 /// Every final answer that the caller gets without a standing call passes here, once.
@@ -119,7 +119,7 @@
   if (open = requests_.find(handle); open != nullptr && open->attempt != no_handle) {
     const auto attempt = open->attempt;
     if (auto* out = attempts_.find(attempt); out != nullptr && out->on_the_way) carrier_->give_up(attempt);
-    finish_attempt(attempt, {.result = Result::cancelled});
+    finish_attempt(attempt, {.result = AttemptResult::cancelled});
   }
   drop(handle);
 }
@@ -163,17 +163,17 @@
   if (known == exchanges_.end() || known->second.state != ExchangeState::ready) {
     // Rule: nothing new to a converter that drains or is gone.
     log_(LogLevel::warn, "attempt_suppressed", {{"cause", "not_in_service"}});
-    finish_attempt(id, {.result = Result::not_sent});
+    finish_attempt(id, {.result = AttemptResult::not_sent});
     return;
   }
-  const double due = std::max(now, std::min(to_ms(action.give_up_at), open->deadline));
+  const double due = std::max(now, std::min(to_ms(action.deadline), open->deadline));
   attempts_.find(id)->deadline = deadlines_.set(due, [this, id] {
     auto* out = attempts_.find(id);
     if (out == nullptr) return;
     out->deadline = {};
     const bool sent = out->on_the_way;
     if (sent) carrier_->give_up(id);
-    finish_attempt(id, {.result = sent ? Result::timed_out : Result::not_sent});
+    finish_attempt(id, {.result = sent ? AttemptResult::timed_out : AttemptResult::not_sent});
   });
   if (now < open->not_before) {
     // Rule: the release is awaited after a time-out, a reset or a cancel.
@@ -191,7 +191,7 @@
   const auto known = exchanges_.find(attempt->exchange);
   // The converter may have begun to drain while the attempt was held.
   if (known == exchanges_.end() || known->second.state != ExchangeState::ready) {
-    finish_attempt(id, {.result = Result::not_sent});
+    finish_attempt(id, {.result = AttemptResult::not_sent});
     return;
   }
   attempt->on_the_way = true;
@@ -211,7 +211,7 @@
   auto* attempt = attempts_.find(id);
   if (attempt->number != action.attempt) return;
   if (attempt->on_the_way) carrier_->give_up(id);
-  finish_attempt(id, {.result = Result::cancelled});
+  finish_attempt(id, {.result = AttemptResult::cancelled});
 }
 
 void Router::act(const SetTimer& action) {
@@ -253,7 +253,7 @@
   if (open->answered) {
     // The caller has left, and the module lets its attempts run where it may not cancel: nobody wants this.
     carrier_->release(id);
-    finish_attempt(id, {.result = Result::cancelled});
+    finish_attempt(id, {.result = AttemptResult::cancelled});
     return;
   }
   open->answered = true;
@@ -287,19 +287,19 @@
   event.wait_hint = to_duration(outcome.wait_hint_ms);
   event.elapsed = to_duration(now - attempt->sent);
   event.report = outcome.report;
-  event.call_over = open->answered;
+  event.call_finished = open->answered;
   deadlines_.cancel(attempt->deadline);
   if (open->standing) {
     if (--standing_at_[attempt->exchange] == 0) standing_at_.erase(attempt->exchange);
-    const bool normal = outcome.result == Result::ended;
+    const bool normal = outcome.result == AttemptResult::ended;
     if (!normal) ++counts_.cut;
     if (open->front != nullptr) open->front->over(handle, normal ? CallEnd::normal : CallEnd::cut);
     open = requests_.find(handle);
   }
   attempts_.erase(id);
   open->attempt = no_handle;
-  if (outcome.result == Result::timed_out || outcome.result == Result::reset ||
-      outcome.result == Result::cancelled) {
+  if (outcome.result == AttemptResult::timed_out || outcome.result == AttemptResult::reset ||
+      outcome.result == AttemptResult::cancelled) {
     // The same clock reading as the module's, which counts its own wait from this event.
     open->not_before = now + std::max(release_wait_ms_, open->request.retry_wait_ms);
   } else {
@@ -314,7 +314,7 @@
 }
 
 void Router::directory(const DirectoryUpdate& update) {
-  if (update.kind == DirectoryUpdate::Kind::whole || update.kind == DirectoryUpdate::Kind::cached) {
+  if (update.kind == DirectoryUpdate::Kind::snapshot || update.kind == DirectoryUpdate::Kind::cached) {
     for (auto& [id, entry] : exchanges_) entry.state = ExchangeState::gone;
   }
   for (const auto& entry : update.entries) exchanges_[entry.exchange] = entry;
@@ -331,7 +331,7 @@
     const auto* open = requests_.find(attempt->request);
     if (!open->standing || attempt->sent >= before) continue;
     carrier_->release(id);
-    finish_attempt(id, {.result = Result::reset});
+    finish_attempt(id, {.result = AttemptResult::reset});
   }
 }
 
--- a/src/core/router.hpp
+++ b/src/core/router.hpp
@@ -65,8 +65,8 @@
 };
 
 struct Outcome {
-  maddershed::Result result = maddershed::Result::ended;
-  maddershed::Cause cause = maddershed::Cause::none;
+  maddershed::AttemptResult result = maddershed::AttemptResult::ended;
+  maddershed::FailureCause cause = maddershed::FailureCause::none;
   double wait_hint_ms = 0;
   maddershed::LoadReport report{};
 };
--- a/src/decide.cpp
+++ b/src/decide.cpp
@@ -176,11 +176,12 @@
   std::optional<double> rho;
   const auto take = [&rho](double value) { rho = std::max(rho.value_or(0), std::min(value, 2.0)); };
   if (const auto u = heard(r.utilisation)) take(*u);
-  if (const auto w = heard(r.wait_ms)) take(rho_thresh * *w / 1000 / delay_target);
+  if (const auto w = heard(r.queue_wait_ms)) take(rho_thresh * *w / 1000 / delay_target);
   // A share to hold back is absolute, not one more cut: this value leads the loop to f = 1 - share.
-  if (const auto h = heard(r.hold_back)) take(rho_thresh * f / std::max(f_min, 1 - std::min(*h, 1.0)));
+  if (const auto h = heard(r.requested_shed_share))
+    take(rho_thresh * f / std::max(f_min, 1 - std::min(*h, 1.0)));
   // Little's law, with as many messages at the far processor as at the own one. A hung processor looks idle.
-  if (const auto q = heard(r.queue))
+  if (const auto q = heard(r.queued_set_ups))
     take(rho_thresh * *q / std::max(4.0, messages_a_call * rate * delay_target));
   return rho;
 }
@@ -316,16 +317,16 @@
   require(!s.classes.empty(), "classes");
   for (const auto& c : s.classes) {
     require(std::isfinite(c.worth) && c.worth >= 0, "worth");
-    require(c.aim > Duration{0}, "aim");
-    require(c.give_up > Duration{0}, "give_up");
+    require(c.set_up_objective > Duration{0}, "aim");
+    require(c.give_up_after > Duration{0}, "give_up");
   }
-  require(s.controllers >= 1, "controllers");
+  require(s.controller_count >= 1, "controllers");
   require(s.attempt_limit >= 1, "attempt_limit");
   require(s.release_wait >= Duration{0}, "release_wait");
   require(s.resend_after >= Duration{0}, "resend_after");
   require(s.cold_time >= Duration{0}, "cold_time");
   require(s.start_capacity > 0 && s.start_capacity <= 1, "start_capacity");
-  require(s.fall_multiple > 0, "fall_multiple");
+  require(s.overload_multiple > 0, "fall_multiple");
 }
 
 }  // namespace
@@ -334,12 +335,12 @@
  public:
   Impl(Settings settings, std::uint64_t seed) : s_(std::move(settings)), random_(seed) {
     check_settings(s_);
-    Duration shortest = s_.classes.front().aim;
+    Duration shortest = s_.classes.front().set_up_objective;
     for (const auto& c : s_.classes) {
-      shortest = std::min(shortest, c.aim);
+      shortest = std::min(shortest, c.set_up_objective);
       worths_.push_back(c.worth);
     }
-    for (const auto& c : s_.classes) worths_.push_back(c.worth * c.late_share);
+    for (const auto& c : s_.classes) worths_.push_back(c.worth * c.late_worth_share);
     double target = seconds(shortest) * delay_target_share;
     if (s_.resend_after > Duration{0}) target = std::min(target, seconds(s_.resend_after));
     health_ = {target, s_.resend_after};
@@ -368,7 +369,7 @@
     FarExchange* best = nullptr;
     for (auto& [id, far] : far_) {
       if (far.entry.number != number || far.entry.state != ExchangeState::ready) continue;
-      if (best == nullptr || far.entry.started.value_or(Time{}) > best->entry.started.value_or(Time{}))
+      if (best == nullptr || far.entry.started_at.value_or(Time{}) > best->entry.started_at.value_or(Time{}))
         best = &far;
     }
     return best;
@@ -381,7 +382,7 @@
   }
 
   [[nodiscard]] bool cold(const FarExchange& far) const {
-    return far.entry.started && now_ - *far.entry.started < s_.cold_time;
+    return far.entry.started_at && now_ - *far.entry.started_at < s_.cold_time;
   }
   double chance() { return static_cast<double>(random_() >> 11) * 0x1p-53; }
   /// Calls a second towards a number, not less than half of the mean over all.
@@ -393,7 +394,7 @@
   /// the share of capacity it has for certain by now, spread evenly so that a burst cannot spend it early. It
   /// starts at a random part of one set-up: many controllers of rare calls then are spread evenly as well.
   void refill_cold_tokens(FarExchange& far) {
-    const double age = seconds(now_ - *far.entry.started) / seconds(s_.cold_time);
+    const double age = seconds(now_ - *far.entry.started_at) / seconds(s_.cold_time);
     const double capacity = s_.start_capacity + (1 - s_.start_capacity) * std::clamp(age, 0.0, 1.0);
     const double gained =
         usual_rate(far.entry.number) * capacity * seconds(std::max(Duration{0}, now_ - far.cold_tokens_at));
@@ -449,10 +450,10 @@
       return number == call.offer.destination || std::find(to.begin(), to.end(), number) != to.end();
     }
     const auto& pools = s_.classes[call.offer.traffic_class].skilled_pools;
-    return !s_.pools || pools.empty() || std::find(pools.begin(), pools.end(), number) != pools.end();
+    return !s_.uses_pools || pools.empty() || std::find(pools.begin(), pools.end(), number) != pools.end();
   }
   bool tandem_shows_room(FarExchange& far, const Call& call) {
-    if (far.entry.number == s_.home || far.entry.number == call.offer.destination) return false;
+    if (far.entry.number == s_.home_exchange || far.entry.number == call.offer.destination) return false;
     if (!skilled(call, far.entry.number) || cold(far) || far.f < throttled_below) return false;
     if (far.free < call.offer.circuits + far.reserve(call.offer.circuits)) return false;
     if (delay_now(far, now_, woke_at_) > health_.delay_target) return false;
@@ -474,7 +475,7 @@
     }
     for (auto& [id, far] : far_) {
       if (!tandem_shows_room(far, call)) continue;
-      if (s_.route_advice && far.entry.number == call.offer.tandem) return &far;
+      if (s_.tandem_advice && far.entry.number == call.offer.tandem) return &far;
       const double weight = far.onward * far.onward * (1 + far.free - far.reserve(call.offer.circuits));
       weights += weight;
       if (chance() * weights < weight) chosen = &far;
@@ -500,7 +501,7 @@
     if (direct == nullptr || now_ < own_down_until_) return false;
     // A subscriber of an exchange whose controller is away may ask here for this very exchange: it is sent
     // nothing from here, but a tandem may have a group to it.
-    const bool at_home = direct->entry.number == s_.home;
+    const bool at_home = direct->entry.number == s_.home_exchange;
     if (at_home && call.offer.in_transit) return false;
     // A throttled call is held, not refused at once: a short pause costs it nothing when f returns in time.
     if (call.throttled &&
@@ -510,7 +511,7 @@
     if (call.attempts >= limit(call) || now_ < call.not_before) return false;
     const double share = window_share(call) * (direct->f < throttled_below ? pressed_window_share : 1);
     const bool direct_open = takes_set_up(*direct, share, call.offer.in_transit);
-    if (!direct_open && !s_.pools) return false;  // whatever the way, it ends at this processor
+    if (!direct_open && !s_.uses_pools) return false;  // whatever the way, it ends at this processor
     const double keep = call.offer.in_transit ? direct->reserve(call.offer.circuits) : 0;
     const bool room = !at_home && (!direct->group_told || direct->free >= call.offer.circuits + keep) &&
                       skilled(call, call.offer.destination);
@@ -527,7 +528,7 @@
     FarExchange* tandem = choose_tandem(call);
     if (tandem == nullptr) return false;
     ++call.tandem_attempts;
-    send(call, *tandem, s_.pools ? nullptr : direct);
+    send(call, *tandem, s_.uses_pools ? nullptr : direct);
     return true;
   }
   void send(Call& call, FarExchange& far, FarExchange* beyond) {
@@ -545,11 +546,11 @@
     far.free -= call.offer.circuits;
     out_in_all_.insert(now_);
     // A set-up lost in a silent processor would hold its window and f down long after the processor is back.
-    const Duration aim = s_.classes[call.offer.traffic_class].aim;
+    const Duration aim = s_.classes[call.offer.traffic_class].set_up_objective;
     Time patience = now_ + scaled(aim, give_up_aims);
     // Where answers come promptly an overdue one is lost: given up in time for another try within the aim.
-    const Time in_time =
-        call.first_arrived + aim - s_.release_wait - s_.step - scaled(target_delay(), another_try_targets);
+    const Time in_time = call.first_arrived + aim - s_.release_wait - s_.batch_interval -
+                         scaled(target_delay(), another_try_targets);
     if (!call.offer.in_transit && in_time >= now_ + target_delay() && prompt()) patience = in_time;
     act(SendSetUp{call.offer.call, far.entry.exchange, std::min(call.deadline, patience)});
   }
@@ -572,8 +573,8 @@
 
   /// Who is refused, or leaves by himself, dials the number again.
   void remember_unserved(const Call& call) {
-    if (call.offer.number_called != 0 && !call.offer.in_transit && !call.standing) {
-      unserved_[call.offer.number_called] = call.first_arrived;
+    if (call.offer.called_number != 0 && !call.offer.in_transit && !call.standing) {
+      unserved_[call.offer.called_number] = call.first_arrived;
     }
   }
   /// Rule: exactly one final answer. Every end that this controller decides passes here.
@@ -581,9 +582,9 @@
     release(call);
     remember_unserved(call);
     const bool provable =
-        !call.may_have_run || s_.classes[call.offer.traffic_class].effect == Effect::repeatable;
+        !call.may_have_run || s_.classes[call.offer.traffic_class].idempotency == Idempotency::idempotent;
     if (refuse && provable) {
-      act(Refuse{call.offer.call, s_.retry_advice ? s_.longest_retry_advice : Duration{0}});
+      act(Refuse{call.offer.call, s_.sends_retry_after ? s_.max_retry_after : Duration{0}});
     } else {
       act(Fail{call.offer.call});
     }
@@ -620,12 +621,12 @@
     woke_at_ = Time{};  // started, not woken
     started_ = own_answered_.since = offered_.since = now_;
     act(SetTimer{now_ + tick_every, tick_token});
-    if (s_.must_ask_directory) act(SubscribeDirectory{});
+    if (s_.directory_by_subscription) act(SubscribeDirectory{});
   }
 
   void on(const DirectoryUpdate& update) {
     if (update.kind == DirectoryUpdate::Kind::failed) {
-      if (!s_.must_ask_directory) return;
+      if (!s_.directory_by_subscription) return;
       act(SetTimer{now_ + subscribe_pause_ + Duration{static_cast<std::int64_t>(random_() % 500000)},
                    subscribe_token});
       subscribe_pause_ = std::min(2 * subscribe_pause_, subscribe_again_most);
@@ -639,8 +640,8 @@
       const auto [it, fresh] = far_.try_emplace(entry.exchange);
       auto& far = it->second;
       if (fresh) far.answered.since = now_;
-      if (far.entry.started !=
-          entry.started) {  // a new processor: nothing that was known of the old one holds
+      if (far.entry.started_at !=
+          entry.started_at) {  // a new processor: nothing that was known of the old one holds
         far.f = 1;
         far.samples.clear();
         far.delay = 0;
@@ -668,7 +669,7 @@
     if (!std::isfinite(offer.circuits) || offer.circuits < 0) call.offer.circuits = settings.circuits;
     call.arrived = now_;
     call.deadline = now_ + offer.time_left;
-    call.hold_until = call.deadline - 2 * s_.step;
+    call.hold_until = call.deadline - 2 * s_.batch_interval;
     recognise_redial(call);
     auto& to = destination(offer.destination);
     to.offered[call.kind].count(now_);
@@ -682,7 +683,7 @@
     // The backlog of a stall is looked at as a whole, one step later: callers who left it meanwhile are told
     // of in this same turn, and it goes in the order of the line, not as one burst in that of arrival.
     hold(call);
-    set_timer(call, now_ + s_.step);
+    set_timer(call, now_ + s_.batch_interval);
   }
 
   /// A caller dials again the number just refused: that tells a later try where nothing marks it, and how
@@ -691,23 +692,23 @@
   void recognise_redial(Call& call) {
     const auto& settings = s_.classes[call.offer.traffic_class];
     call.first_arrived = now_;
-    if (call.offer.in_transit || call.offer.cut_before) {
+    if (call.offer.in_transit || call.offer.was_cut_off) {
       // neither a first try nor a later one
-    } else if (const auto it = unserved_.find(call.offer.number_called); it != unserved_.end()) {
+    } else if (const auto it = unserved_.find(call.offer.called_number); it != unserved_.end()) {
       call.first_arrived = it->second;
       unserved_.erase(it);
     } else if (call.offer.redialled) {
-      call.first_arrived = now_ - settings.aim;
+      call.first_arrived = now_ - settings.set_up_objective;
     } else {
       // First tries are given the same time; what one lacks it has waited for the own controller's turn.
       auto& longest = longest_try_[call.offer.traffic_class];
       longest = std::max(longest, call.offer.time_left);
       call.first_arrived = now_ - (longest - call.offer.time_left);
     }
-    const Time last = call.first_arrived + scaled(settings.aim, latest_send_share);
+    const Time last = call.first_arrived + scaled(settings.set_up_objective, latest_send_share);
     call.kind = call.offer.traffic_class + (now_ >= last ? s_.classes.size() : 0);
-    const Time patience = now_ < last ? last : now_ + scaled(settings.aim, late_hold_share);
-    if (!call.offer.in_transit) call.hold_until = std::min(patience, call.deadline - 2 * s_.step);
+    const Time patience = now_ < last ? last : now_ + scaled(settings.set_up_objective, late_hold_share);
+    if (!call.offer.in_transit) call.hold_until = std::min(patience, call.deadline - 2 * s_.batch_interval);
   }
 
   void on(const CallStands& stands) {
@@ -740,7 +741,7 @@
       answered(call);
       if (far != nullptr) hear_failure(*far, call, end);
     }
-    if (end.call_over || call.over || call.standing) {
+    if (end.call_finished || call.over || call.standing) {
       calls_.erase(it);
     } else {
       try_again(call, end);
@@ -749,22 +750,22 @@
   }
   void hear_failure(FarExchange& far, const Call& call, const AttemptEnded& end) {
     switch (end.result) {
-      case Result::connect_failed:
+      case AttemptResult::connect_failed:
         pause(far, Duration{0});
         break;
-      case Result::timed_out:
+      case AttemptResult::timed_out:
         if (!just_woke() && far.missed >= (prompt() ? misses_pressed : 1))
           hear_delay(far, end.elapsed, health_, now_);
         break;
-      case Result::not_sent:
-        if (end.cause == Cause::processor_full) own_down_until_ = now_ + full_pause;
+      case AttemptResult::not_sent:
+        if (end.cause == FailureCause::processor_full) own_down_until_ = now_ + full_pause;
         break;
-      case Result::not_set_up:
-        if (end.cause == Cause::turned_back_processor_full) {
+      case AttemptResult::not_set_up:
+        if (end.cause == FailureCause::destination_processor_full) {
           if (FarExchange* beyond = call.beyond ? find(*call.beyond) : nullptr)
             turned_away(*beyond, Duration{0});
         }
-        if (end.cause == Cause::processor_full) turned_away(far, end.wait_hint);
+        if (end.cause == FailureCause::processor_full) turned_away(far, end.wait_hint);
         if (call.beyond) got_onward(far, call.offer.destination, false);
         break;
       default:
@@ -791,22 +792,24 @@
   }
   /// The call is still owed its answer: another attempt after the release wait, or an end.
   void try_again(Call& call, const AttemptEnded& end) {
-    const bool never_ran = end.result == Result::not_set_up || end.result == Result::not_sent ||
-                           end.result == Result::connect_failed;
+    const bool never_ran = end.result == AttemptResult::not_set_up || end.result == AttemptResult::not_sent ||
+                           end.result == AttemptResult::connect_failed;
     if (call.offer.retry_wait > Duration{0}) {
       call.not_before = now_ + call.offer.retry_wait;
       set_timer(call, call.not_before);
     }
     if (never_ran) return proceed(call);
     call.may_have_run = true;
-    if (end.cause == Cause::number_busy) return finish(call, true);
-    if (end.result == Result::error && ++call.errors > errors_most) return finish(call, false);
+    if (end.cause == FailureCause::number_busy) return finish(call, true);
+    if (end.result == AttemptResult::error && ++call.errors > errors_most) return finish(call, false);
     const auto& settings = s_.classes[call.offer.traffic_class];
     // Rule: the release is awaited, counted from the batch that told of the end.
-    if (end.result != Result::error)
-      call.not_before = std::max(call.not_before, now_ + s_.release_wait + s_.step);
-    const Time latest = std::min(call.arrived + settings.aim, call.deadline - 2 * s_.step);
-    if (settings.effect != Effect::repeatable || call.not_before >= latest || call.offer.in_transit) {
+    if (end.result != AttemptResult::error)
+      call.not_before = std::max(call.not_before, now_ + s_.release_wait + s_.batch_interval);
+    const Time latest =
+        std::min(call.arrived + settings.set_up_objective, call.deadline - 2 * s_.batch_interval);
+    if (settings.idempotency != Idempotency::idempotent || call.not_before >= latest ||
+        call.offer.in_transit) {
       return finish(call, false);
     }
     call.hold_until = latest;
@@ -842,7 +845,7 @@
       }
     }
     Duration longest{0};
-    for (const auto& c : s_.classes) longest = std::max(longest, c.give_up);
+    for (const auto& c : s_.classes) longest = std::max(longest, c.give_up_after);
     std::erase_if(unserved_, [&](const auto& each) { return now_ - each.second > longest; });
     for (auto& [number, to] : destinations_) {
       if (!to.held.empty()) pump(to);
--- a/src/enum/dot_links.cpp
+++ b/src/enum/dot_links.cpp
@@ -8,7 +8,7 @@
 namespace heathturn {
 
 using handshakes::Ending;
-using maddershed::Result;
+using maddershed::AttemptResult;
 
 namespace {
 
@@ -46,7 +46,7 @@
   deadlines_.cancel(server.ask);
   server.context->sessions().drop(id.value);
   admission_.unlisted(id);
-  for (const auto& each : std::exchange(server.waiting, {})) fail(each.attempt, Result::not_sent);
+  for (const auto& each : std::exchange(server.waiting, {})) fail(each.attempt, AttemptResult::not_sent);
   const auto again = servers_.find(id);
   if (again == servers_.end()) return;
   for (const auto line : std::vector(again->second.lines)) {
@@ -61,7 +61,7 @@
   if (it != servers_.end() && !it->second.listed && it->second.lines.empty()) servers_.erase(it);
 }
 
-void DotLinks::fail(Handle attempt, Result result) {
+void DotLinks::fail(Handle attempt, AttemptResult result) {
   attempts_.erase(attempt);
   user_.on_dot_failed(attempt, result);
 }
@@ -70,7 +70,8 @@
 
 void DotLinks::send(Handle attempt, ExchangeId id, double due) {
   const auto it = servers_.find(id);
-  if (it == servers_.end() || !it->second.listed) return user_.on_dot_failed(attempt, Result::not_sent);
+  if (it == servers_.end() || !it->second.listed)
+    return user_.on_dot_failed(attempt, AttemptResult::not_sent);
   attempts_[attempt] = {id, no_handle, 0};
   it->second.waiting.push_back({attempt, due});
   pump(id);
@@ -146,7 +147,7 @@
     return true;
   });
   if (!server.waiting.empty()) server.ask = deadlines_.set(verdict.ask_again, [this, id] { pump(id); });
-  for (const auto attempt : late) fail(attempt, Result::connect_failed);
+  for (const auto attempt : late) fail(attempt, AttemptResult::connect_failed);
 }
 
 // ---- Connections ------------------------------------------------------------------------------------------
@@ -225,9 +226,9 @@
     for (const auto& each : std::exchange(server->second.waiting, {})) never_left.push_back(each.attempt);
   }
   forget_if_done(id);
-  for (const auto attempt : never_left) fail(attempt, Result::connect_failed);
+  for (const auto attempt : never_left) fail(attempt, AttemptResult::connect_failed);
   for (const auto& [number, attempt] : line.asked) {
-    if (attempt != no_handle) fail(attempt, Result::reset);
+    if (attempt != no_handle) fail(attempt, AttemptResult::reset);
   }
   pump(id);
 }
--- a/src/enum/dot_links.hpp
+++ b/src/enum/dot_links.hpp
@@ -23,7 +23,7 @@
   /// The attempt is over for these links, whatever the message says.
   virtual void on_dot_answer(Handle attempt, const std::string& message) = 0;
   /// connect_failed: it never left; reset: it may have run.
-  virtual void on_dot_failed(Handle attempt, maddershed::Result result) = 0;
+  virtual void on_dot_failed(Handle attempt, maddershed::AttemptResult result) = 0;
 };
 
 class DotLinks : public ConnectionUser {
@@ -82,7 +82,7 @@
   void open(ExchangeId id, Server& server, handshakes::Kind admitted);
   void retire_if_idle(Handle connection);
   void forget_if_done(ExchangeId id);
-  void fail(Handle attempt, maddershed::Result result);
+  void fail(Handle attempt, maddershed::AttemptResult result);
 
   Clock& clock_;
   Deadlines& deadlines_;
--- a/src/enum/upstreams.cpp
+++ b/src/enum/upstreams.cpp
@@ -35,7 +35,7 @@
     ++generation_;
   }
   DirectoryUpdate update;
-  update.kind = DirectoryUpdate::Kind::whole;
+  update.kind = DirectoryUpdate::Kind::snapshot;
   for (auto& [id, server] : servers_) {
     server.converter.entry.state = ExchangeState::gone;
     server.listed = false;
@@ -97,15 +97,15 @@
 
 void Upstreams::send(Handle attempt, ExchangeId exchange, const Request& request, double left_ms) {
   const auto found = servers_.find(exchange);
-  if (found == servers_.end()) return router_.ended(attempt, {.result = Result::not_sent});
+  if (found == servers_.end()) return router_.ended(attempt, {.result = AttemptResult::not_sent});
   auto& server = found->second;
   if (room_at(server) == 0) {
-    return router_.ended(attempt, {.result = Result::not_sent, .cause = Cause::no_circuit});
+    return router_.ended(attempt, {.result = AttemptResult::not_sent, .cause = FailureCause::no_circuit});
   }
   const auto asked = dns::read_message(request.body);
   const auto socket = server.secured ? no_handle : datagrams_.connect(server.converter.address, *this);
   if (!asked || (socket == no_handle && !server.secured)) {
-    return router_.ended(attempt, {.result = Result::connect_failed});
+    return router_.ended(attempt, {.result = AttemptResult::connect_failed});
   }
   LookUp look_up;
   look_up.exchange = exchange;
@@ -125,7 +125,7 @@
     return links_.send(attempt, exchange, due);
   }
   by_socket_[socket] = attempt;
-  if (!datagrams_.send(socket, bytes)) return end(attempt, Result::connect_failed);
+  if (!datagrams_.send(socket, bytes)) return end(attempt, AttemptResult::connect_failed);
   tell_group(exchange);
 }
 
@@ -157,7 +157,7 @@
   tell_group(exchange);
 }
 
-void Upstreams::end(Handle attempt, Result result, Cause cause) {
+void Upstreams::end(Handle attempt, AttemptResult result, FailureCause cause) {
   give_up(attempt);
   router_.ended(attempt, {.result = result, .cause = cause});
 }
@@ -169,7 +169,7 @@
 void Upstreams::on_refused(Handle socket) {
   // Nobody listens there: the look-up never ran.
   if (const auto it = by_socket_.find(socket); it != by_socket_.end())
-    end(it->second, Result::connect_failed);
+    end(it->second, AttemptResult::connect_failed);
 }
 
 /// Takes the first reply that is one to this look-up. Whatever else comes (from elsewhere, late, to another
@@ -182,10 +182,10 @@
   const auto question = dns::read_question(bytes);
   if (!question || !question->same(*look_up.query.question)) return;
   if (header->truncated) {
-    if (over_tcp) return end(attempt, Result::error);
+    if (over_tcp) return end(attempt, AttemptResult::error);
     const double left = std::max(1.0, look_up.due - clock_.now());
     const auto server = servers_.find(look_up.exchange);
-    if (server == servers_.end()) return end(attempt, Result::error);
+    if (server == servers_.end()) return end(attempt, AttemptResult::error);
     const auto connection = net_.connect(server->second.converter.address, *this, "upstream", left);
     look_up.connection = connection;
     by_connection_[connection] = attempt;
@@ -194,7 +194,7 @@
   const auto reply = dns::read_message(bytes);
   if (!reply || reply->opcode != 0) return;  // malformed: it may be forged, the true one may still come
   if (reply->rcode != dns::rcode::no_error && reply->rcode != dns::rcode::nx_domain) {
-    return end(attempt, Result::error);
+    return end(attempt, AttemptResult::error);
   }
   deliver(attempt, bytes);
 }
@@ -203,7 +203,7 @@
   const auto exchange = look_ups_[attempt].exchange;
   forget(attempt);
   router_.stands(attempt, bytes);
-  router_.ended(attempt, {.result = Result::ended});
+  router_.ended(attempt, {.result = AttemptResult::ended});
   tell_group(exchange);
 }
 
@@ -220,12 +220,12 @@
   const bool fits = reply && reply->response && reply->opcode == 0 && !reply->truncated && reply->question &&
                     reply->question->same(*query.question);
   if (!fits || (reply->rcode != dns::rcode::no_error && reply->rcode != dns::rcode::nx_domain)) {
-    return end(attempt, Result::error);
+    return end(attempt, AttemptResult::error);
   }
   deliver(attempt, message);
 }
 
-void Upstreams::on_dot_failed(Handle attempt, Result result) { end(attempt, result); }
+void Upstreams::on_dot_failed(Handle attempt, AttemptResult result) { end(attempt, result); }
 
 void Upstreams::on_connected(Handle connection) {
   const auto it = by_connection_.find(connection);
@@ -251,7 +251,7 @@
   const auto attempt = it->second;
   by_connection_.erase(it);
   look_ups_[attempt].connection = no_handle;
-  end(attempt, Result::reset);
+  end(attempt, AttemptResult::reset);
 }
 
 }  // namespace heathturn
--- a/src/enum/upstreams.hpp
+++ b/src/enum/upstreams.hpp
@@ -46,7 +46,7 @@
 
   std::string query_for(Handle attempt, std::uint16_t id) override;
   void on_dot_answer(Handle attempt, const std::string& message) override;
-  void on_dot_failed(Handle attempt, maddershed::Result result) override;
+  void on_dot_failed(Handle attempt, maddershed::AttemptResult result) override;
 
  private:
   struct Server {
@@ -74,7 +74,8 @@
   [[nodiscard]] std::uint32_t room_at(const Server& server) const;
   void forget_gone();
   void forget(Handle attempt);
-  void end(Handle attempt, maddershed::Result result, maddershed::Cause cause = maddershed::Cause::none);
+  void end(Handle attempt, maddershed::AttemptResult result,
+           maddershed::FailureCause cause = maddershed::FailureCause::none);
   void take_answer(Handle attempt, const std::string& bytes, bool over_tcp);
   void deliver(Handle attempt, const std::string& bytes);
   std::uint16_t unpredictable() { return static_cast<std::uint16_t>(random_()); }
--- a/src/platform/bus.cpp
+++ b/src/platform/bus.cpp
@@ -85,7 +85,7 @@
     each.entry.region = static_cast<std::uint8_t>(big_endian(frame, at + 11, 1));
     each.entry.number = static_cast<ExchangeNumber>(big_endian(frame, at + 13, 2));
     if (const auto started = big_endian(frame, at + 19, 8); started != 0 && started < (1ULL << 50)) {
-      each.entry.started = module_time(static_cast<double>(started));
+      each.entry.started_at = module_time(static_cast<double>(started));
     }
     list.push_back(each);
   }
--- a/src/platform/converters.cpp
+++ b/src/platform/converters.cpp
@@ -30,26 +30,26 @@
 constexpr double unheard_kept_ms = 1000;  // a connection that was dead already has ended by then
 constexpr double gone_after_ms = 1000;    // the last releases of one that is gone may still be under way
 
-Cause cause_of(const std::string& note) {
-  if (note == "all_trunks_busy") return Cause::no_circuit;
-  if (note == "via_said_no") return Cause::turned_back;
-  if (note == "far_cpu_full") return Cause::turned_back_processor_full;
-  if (note == "cpu_full") return Cause::processor_full;
-  if (note == "number_busy") return Cause::number_busy;
-  return Cause::none;
+FailureCause cause_of(const std::string& note) {
+  if (note == "all_trunks_busy") return FailureCause::no_circuit;
+  if (note == "via_said_no") return FailureCause::tandem_refused;
+  if (note == "far_cpu_full") return FailureCause::destination_processor_full;
+  if (note == "cpu_full") return FailureCause::processor_full;
+  if (note == "number_busy") return FailureCause::number_busy;
+  return FailureCause::none;
 }
 
 /// What a release before the answer means.
-Result result_of(int why) {
+AttemptResult result_of(int why) {
   switch (why) {
     case cause::full:
-      return Result::not_set_up;
+      return AttemptResult::not_set_up;
     case cause::moot:
-      return Result::not_sent;
+      return AttemptResult::not_sent;
     case cause::temporary_failure:
-      return Result::reset;
+      return AttemptResult::reset;
     default:
-      return Result::error;
+      return AttemptResult::error;
   }
 }
 
@@ -63,7 +63,7 @@
 
 void Converters::update(const std::vector<Converter>& list, bool whole) {
   DirectoryUpdate update;
-  update.kind = whole ? DirectoryUpdate::Kind::whole : DirectoryUpdate::Kind::changes;
+  update.kind = whole ? DirectoryUpdate::Kind::snapshot : DirectoryUpdate::Kind::changes;
   if (whole) {
     for (auto& [id, link] : links_) link.converter.entry.state = ExchangeState::gone;
   }
@@ -74,7 +74,7 @@
     if (converter.entry.state == ExchangeState::gone && !links_.contains(id)) continue;
     auto [it, fresh] = links_.try_emplace(id);
     auto& link = it->second;
-    const bool restarted = !fresh && link.converter.entry.started != converter.entry.started;
+    const bool restarted = !fresh && link.converter.entry.started_at != converter.entry.started_at;
     const bool moved = !fresh && link.converter.address != converter.address;
     link.converter = converter;
     for (std::size_t i = 0; moved && i < held_connections; ++i) {
@@ -86,9 +86,10 @@
     }
     // A process that began anew holds none of the calls that stood before. News of it comes late: the calls
     // that it took since then are its own.
-    if (restarted && converter.entry.started) router_.exchange_lost(id, to_ms(*converter.entry.started));
+    if (restarted && converter.entry.started_at)
+      router_.exchange_lost(id, to_ms(*converter.entry.started_at));
     // The own exchange is sent nothing, and has no group to tell of.
-    link.own = converter.entry.number == config_.settings.home;
+    link.own = converter.entry.number == config_.settings.home_exchange;
     list_for_admission(link);
     numbers_.insert(converter.entry.number);
     if (converter.entry.state != ExchangeState::ready || link.own) continue;
@@ -137,7 +138,8 @@
   if (!context_ || link.own) return;
   const auto& entry = link.converter.entry;
   admission_->listed(entry.exchange, clock_.now(),
-                     entry.started ? std::optional(to_ms(*entry.started)) : std::nullopt, held_connections);
+                     entry.started_at ? std::optional(to_ms(*entry.started_at)) : std::nullopt,
+                     held_connections);
 }
 
 /// As the admission allows; no_handle when it must wait. What cannot wait with it is given back at once.
@@ -165,7 +167,7 @@
   }
   for (const auto attempt : late) {
     forget(attempt);
-    router_.ended(attempt, {.result = Result::connect_failed});
+    router_.ended(attempt, {.result = AttemptResult::connect_failed});
   }
   return no_handle;
 }
@@ -260,7 +262,7 @@
       continue;
     }
     forget(attempt);
-    router_.ended(attempt, {.result = Result::reset});
+    router_.ended(attempt, {.result = AttemptResult::reset});
   }
   std::vector<std::string> unheard;
   for (const auto& [call, said] : link.unheard) {
@@ -281,7 +283,7 @@
   for (const auto attempt : std::exchange(link.waiting, {})) {
     if (!attempts_.contains(attempt)) continue;
     forget(attempt);
-    router_.ended(attempt, {.result = Result::connect_failed});
+    router_.ended(attempt, {.result = AttemptResult::connect_failed});
   }
 }
 
@@ -351,7 +353,7 @@
 
 void Converters::send(Handle attempt, ExchangeId exchange, const Request& request, double left_ms) {
   const auto it = links_.find(exchange);
-  if (it == links_.end()) return router_.ended(attempt, {.result = Result::connect_failed});
+  if (it == links_.end()) return router_.ended(attempt, {.result = AttemptResult::connect_failed});
   auto& link = it->second;
   Message message;
   message.op = Op::offer;
@@ -382,7 +384,7 @@
   // The write ended the connection, which ends its set-ups; one that it did not know of ends here.
   if (!attempts_.contains(attempt)) return;
   forget(attempt);
-  router_.ended(attempt, {.result = Result::reset});
+  router_.ended(attempt, {.result = AttemptResult::reset});
 }
 
 void Converters::forget(Handle attempt) {
@@ -513,7 +515,7 @@
   Outcome outcome;
   outcome.report = load_of(message);
   if (router_.is_standing(attempt)) {
-    outcome.result = why == cause::normal ? Result::ended : Result::reset;
+    outcome.result = why == cause::normal ? AttemptResult::ended : AttemptResult::reset;
     Message heard;
     heard.op = Op::ended;
     heard.call = message.call;
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -66,10 +66,10 @@
   EXPECT_EQ(one.kind, DirectoryUpdate::Kind::cached);
   ASSERT_EQ(one.entries.size(), 1U);
   EXPECT_EQ(one.entries[0].exchange.value, 0x03124a07U);
-  EXPECT_FALSE(one.entries[0].started);
+  EXPECT_FALSE(one.entries[0].started_at);
   ASSERT_EQ(two.entries.size(), 1U);
   EXPECT_EQ(two.entries[0].state, ExchangeState::draining);
-  EXPECT_EQ(two.entries[0].started, Time{Duration{0x5d1420}});
+  EXPECT_EQ(two.entries[0].started_at, Time{Duration{0x5d1420}});
 }
 
 TEST(Codec, AttemptEnded) {
@@ -78,14 +78,14 @@
                              bytes("78 03000000 32 c4913a5d17830b00 0000 074a1203 1e 44480000 00 12000000"
                                    "04 cdcccc3e0000a03f52b81e3f00004040"));
   const auto& end = std::get<AttemptEndedRaw>(events.at(0).event);
-  EXPECT_EQ(end.event.result, Result::not_set_up);
-  EXPECT_EQ(end.event.cause, Cause::turned_back_processor_full);
+  EXPECT_EQ(end.event.result, AttemptResult::not_set_up);
+  EXPECT_EQ(end.event.cause, FailureCause::destination_processor_full);
   EXPECT_EQ(end.event.elapsed, Duration{18500});
-  EXPECT_FALSE(end.event.call_over);
+  EXPECT_FALSE(end.event.call_finished);
   const auto report = to_report({"spare", "new_thing", "utilization", "backlog", "beyond"}, end.figures);
   EXPECT_FLOAT_EQ(static_cast<float>(*report.free_circuits), 0.4F);
   EXPECT_FLOAT_EQ(static_cast<float>(*report.utilisation), 0.62F);
-  EXPECT_EQ(report.queue, 3.0);
+  EXPECT_EQ(report.queued_set_ups, 3.0);
   EXPECT_FALSE(report.total_circuits);
 }
 
--- a/tests/decide_test.cpp
+++ b/tests/decide_test.cpp
@@ -13,7 +13,7 @@
   const auto sent = only<SendSetUp>(d.offer(1, 1));
   ASSERT_EQ(sent.size(), 1U);
   EXPECT_EQ(sent[0].exchange, ExchangeId{101});
-  EXPECT_LE(sent[0].give_up_at, d.now + 3s);
+  EXPECT_LE(sent[0].deadline, d.now + 3s);
 }
 
 TEST(Routes, OneTandemWhenTheGroupIsFull) {
@@ -98,7 +98,8 @@
   auto sent = only<SendSetUp>(d.offer(1, 1));
   while (!sent.empty()) {
     tried.push_back(sent[0].exchange);
-    sent = only<SendSetUp>(d.end(1, sent[0].exchange.value, Result::not_set_up, Cause::turned_back));
+    sent = only<SendSetUp>(
+        d.end(1, sent[0].exchange.value, AttemptResult::not_set_up, FailureCause::tandem_refused));
   }
   return tried;
 }
@@ -120,7 +121,7 @@
   const auto turned_back = [&](std::uint64_t id) {
     const auto sent = only<SendSetUp>(d.offer(id, 1));
     if (sent.empty()) return false;
-    d.end(id, sent[0].exchange.value, Result::not_set_up, Cause::turned_back);
+    d.end(id, sent[0].exchange.value, AttemptResult::not_set_up, FailureCause::tandem_refused);
     return true;
   };
   EXPECT_TRUE(turned_back(1));
@@ -203,7 +204,7 @@
   for (int to = 1; to <= 4; ++to) {
     for (int i = 0; i < 3; ++i) {
       d.offer(++id, to);
-      d.whole_call(id, static_cast<std::uint32_t>(100 + to), {.wait_ms = 1000});
+      d.whole_call(id, static_cast<std::uint32_t>(100 + to), {.queue_wait_ms = 1000});
     }
   }
   d.advance(110ms);
@@ -221,7 +222,7 @@
   call.destination = 1;
   const auto sent = only<SendSetUp>(d.feed(call));
   ASSERT_EQ(sent.size(), 1U);
-  EXPECT_LT(sent[0].give_up_at, d.now + 4s);
+  EXPECT_LT(sent[0].deadline, d.now + 4s);
 }
 
 /// Set-ups placed at once of `offers` plain and dear calls each towards exchange 1, after many equal reports.
@@ -243,7 +244,7 @@
 }
 
 TEST(Throttle, APressedProcessorIsThrottledLowestWorthFirst) {
-  const auto [plain, dear] = placed_under({.hold_back = 0.4}, 20);
+  const auto [plain, dear] = placed_under({.requested_shed_share = 0.4}, 20);
   EXPECT_LT(plain, 10);  // a cut of 0.4 falls on the plain half of what is offered
   EXPECT_GT(dear, 15);
 }
@@ -255,15 +256,19 @@
   Driver d(settings);
   int at_once = 0;
   for (std::uint64_t id = 1; id <= 200; ++id) {
-    const int done = d.complete(d.offer(id, 1), {.hold_back = 0.5});
+    const int done = d.complete(d.offer(id, 1), {.requested_shed_share = 0.5});
     if (id > 120) at_once += done;
-    d.complete(d.advance(100ms), {.hold_back = 0.5});
+    d.complete(d.advance(100ms), {.requested_shed_share = 0.5});
   }
   EXPECT_NEAR(at_once, 40, 6);
 }
 
 TEST(Throttle, NotANumberIsUnheard) {
-  EXPECT_EQ(placed_under({.utilisation = std::nan(""), .queue = -1, .wait_ms = -1, .hold_back = 1e30}, 20),
+  EXPECT_EQ(placed_under({.utilisation = std::nan(""),
+                          .queued_set_ups = -1,
+                          .queue_wait_ms = -1,
+                          .requested_shed_share = 1e30},
+                         20),
             (std::pair{20, 20}));
 }
 
@@ -296,24 +301,24 @@
 }
 
 TEST(Throttle, ARareReportCountsUntilTheNextCall) {
-  EXPECT_EQ(placed_of_rare_calls({.wait_ms = 20}), 10);
-  EXPECT_LE(placed_of_rare_calls({.wait_ms = 3000}), 6);
+  EXPECT_EQ(placed_of_rare_calls({.queue_wait_ms = 20}), 10);
+  EXPECT_LE(placed_of_rare_calls({.queue_wait_ms = 3000}), 6);
 }
 
 TEST(Throttle, FReturnsWhenNothingIsHeardForLong) {
   Driver d;
   std::uint64_t id = 0;
   for (int i = 0; i < 20; ++i) {
-    d.complete(d.offer(++id, 1), {.wait_ms = 5000});
-    d.complete(d.advance(1s), {.wait_ms = 5000});
+    d.complete(d.offer(++id, 1), {.queue_wait_ms = 5000});
+    d.complete(d.advance(1s), {.queue_wait_ms = 5000});
   }
   d.advance(25s);
   EXPECT_EQ(d.complete(d.offer(++id, 1), {}), 1);
 }
 
 TEST(Throttle, AHungProcessorThatLooksIdleIsPressedByItsQueue) {
-  EXPECT_EQ(placed_of_rare_calls({.utilisation = 0.0, .queue = 1}), 10);
-  EXPECT_LE(placed_of_rare_calls({.utilisation = 0.0, .queue = 300}), 6);
+  EXPECT_EQ(placed_of_rare_calls({.utilisation = 0.0, .queued_set_ups = 1}), 10);
+  EXPECT_LE(placed_of_rare_calls({.utilisation = 0.0, .queued_set_ups = 300}), 6);
 }
 
 TEST(LostAnswers, AnotherTryStandsWithinTheAim) {
@@ -321,8 +326,8 @@
   const Time start = d.now;
   const auto sent = only<SendSetUp>(d.offer(1, 1));
   ASSERT_EQ(sent.size(), 1U);
-  d.advance(sent[0].give_up_at - d.now);
-  d.end(1, 101, Result::timed_out);
+  d.advance(sent[0].deadline - d.now);
+  d.end(1, 101, AttemptResult::timed_out);
   EXPECT_EQ(only<SendSetUp>(d.advance(510ms)).size(), 1U);
   EXPECT_LT(d.now, start + 1500ms);
 }
@@ -384,7 +389,7 @@
   Driver d;
   d.offer(1, 1);
   EXPECT_EQ(only<Cancel>(d.feed(CallerLeft{CallId{1}})), (std::vector<Cancel>{{CallId{1}, 0}}));
-  EXPECT_TRUE(only<SendSetUp>(d.end(1, 101, Result::cancelled)).empty());
+  EXPECT_TRUE(only<SendSetUp>(d.end(1, 101, AttemptResult::cancelled)).empty());
   EXPECT_TRUE(only<SendSetUp>(d.advance(2s)).empty());
   Settings settings = mesh_settings();
   settings.cancelling = false;
@@ -402,7 +407,7 @@
       const auto sent = only<SendSetUp>(d.offer(++id, 1, 1));
       EXPECT_EQ(sent.size(), 1U);
       d.advance(900ms);
-      d.end(id, 101, Result::timed_out);
+      d.end(id, 101, AttemptResult::timed_out);
       d.feed(CallerLeft{CallId{id}});
     }
     return only<SendSetUp>(d.offer(++id, 1)).size();
@@ -415,7 +420,7 @@
   Driver d;
   const auto turned_away_at_once = [&](std::uint64_t id) {
     if (only<SendSetUp>(d.feed(transit(id, 2, 1))).empty()) return false;
-    d.end(id, 101, Result::not_set_up, Cause::processor_full);
+    d.end(id, 101, AttemptResult::not_set_up, FailureCause::processor_full);
     return true;
   };
   EXPECT_TRUE(turned_away_at_once(1));
@@ -447,7 +452,7 @@
 
 TEST(Directory, AFailedSubscriptionIsAskedAgainLater) {
   auto settings = mesh_settings();
-  settings.must_ask_directory = true;
+  settings.directory_by_subscription = true;
   Driver d(settings);
   DirectoryUpdate failed;
   failed.kind = DirectoryUpdate::Kind::failed;
@@ -470,7 +475,7 @@
 
 TEST(Routes, AdviceIsFollowedOnlyAmongAdmissibleTandems) {
   auto settings = mesh_settings();
-  settings.route_advice = true;
+  settings.tandem_advice = true;
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     Driver d(settings, seed);
     d.circuits(101, 0);
@@ -493,7 +498,7 @@
 
 TEST(Events, UnknownCallsTimersExchangesAndPeersAreIgnored) {
   Driver d;
-  EXPECT_TRUE(d.end(99, 555, Result::reset).empty());
+  EXPECT_TRUE(d.end(99, 555, AttemptResult::reset).empty());
   EXPECT_TRUE(d.stands(99, 555).empty());
   EXPECT_TRUE(d.feed(CallerLeft{CallId{99}}).empty());
   EXPECT_TRUE(d.feed(TimerDue{1234567}).empty());
@@ -511,7 +516,7 @@
     d.complete(d.advance(100ms), {});
   }
   DirectoryUpdate update;
-  update.entries = {{.exchange = ExchangeId{101}, .number = 1, .started = d.now}};
+  update.entries = {{.exchange = ExchangeId{101}, .number = 1, .started_at = d.now}};
   d.feed(update);
   int sent = 0;
   for (int i = 0; i < 20; ++i) {
@@ -533,7 +538,7 @@
 TEST(Rules, TheReleaseIsAwaited) {
   Driver d;
   ASSERT_EQ(only<SendSetUp>(d.offer(1, 1)).size(), 1U);
-  EXPECT_TRUE(only<SendSetUp>(d.end(1, 101, Result::reset)).empty());
+  EXPECT_TRUE(only<SendSetUp>(d.end(1, 101, AttemptResult::reset)).empty());
   EXPECT_TRUE(only<SendSetUp>(d.advance(499ms)).empty());
   EXPECT_EQ(only<SendSetUp>(d.advance(20ms)).size(), 1U);
 }
@@ -569,11 +574,11 @@
 TEST(Guards, ACallThatMeetsErrorsIsNotTriedOnAndOn) {
   Driver d;
   EXPECT_EQ(only<SendSetUp>(d.offer(1, 1)).size(), 1u);
-  auto next = d.end(1, 101, Result::error);
+  auto next = d.end(1, 101, AttemptResult::error);
   const auto later = d.advance(50ms);
   next.insert(next.end(), later.begin(), later.end());
   ASSERT_EQ(only<SendSetUp>(next).size(), 1u);
-  const auto last = d.end(1, 101, Result::error, Cause::none, {}, 1);
+  const auto last = d.end(1, 101, AttemptResult::error, FailureCause::none, {}, 1);
   EXPECT_EQ(only<Fail>(last).size(), 1u);
   EXPECT_TRUE(only<SendSetUp>(d.advance(3s)).empty());
 }
@@ -581,15 +586,15 @@
 TEST(Events, AnAttemptsEndToldTwiceCountsOnce) {
   Driver d;
   ASSERT_EQ(only<SendSetUp>(d.offer(1, 1)).size(), 1U);
-  d.end(1, 101, Result::reset);
-  EXPECT_TRUE(d.end(1, 101, Result::reset).empty());
+  d.end(1, 101, AttemptResult::reset);
+  EXPECT_TRUE(d.end(1, 101, AttemptResult::reset).empty());
   EXPECT_EQ(only<SendSetUp>(d.advance(520ms)).size(), 1U);
 }
 
 TEST(Rules, AColdProcessorIsSparedABurst) {
   Driver d;
   DirectoryUpdate update;
-  update.entries = {{.exchange = ExchangeId{101}, .number = 1, .started = d.now}};
+  update.entries = {{.exchange = ExchangeId{101}, .number = 1, .started_at = d.now}};
   d.feed(update);
   std::size_t sent = 0;
   for (std::uint64_t id = 1; id <= 20; ++id) sent += only<SendSetUp>(d.offer(id, 1)).size();
@@ -608,7 +613,7 @@
       d.complete(d.advance(4s), {});
     }
     DirectoryUpdate update;
-    update.entries = {{.exchange = ExchangeId{101}, .number = 1, .started = d.now}};
+    update.entries = {{.exchange = ExchangeId{101}, .number = 1, .started_at = d.now}};
     d.feed(update);
     d.advance(3s);
     sent += d.complete(d.offer(++id, 1), {});
--- a/tests/fixture.hpp
+++ b/tests/fixture.hpp
@@ -15,20 +15,22 @@
 inline Settings mesh_settings() {
   Settings s;
   s.classes.resize(2);
-  s.classes[0] = {.name = "plain", .worth = 1, .late_share = 0.1, .aim = 1500ms, .give_up = 9s};
-  s.classes[1] = {.name = "dear", .worth = 2, .late_share = 0.1, .aim = 1500ms, .give_up = 9s};
-  s.home = 0;
-  s.controllers = 4;
+  s.classes[0] = {
+      .name = "plain", .worth = 1, .late_worth_share = 0.1, .set_up_objective = 1500ms, .give_up_after = 9s};
+  s.classes[1] = {
+      .name = "dear", .worth = 2, .late_worth_share = 0.1, .set_up_objective = 1500ms, .give_up_after = 9s};
+  s.home_exchange = 0;
+  s.controller_count = 4;
   s.release_wait = 500ms;
   s.resend_after = 400ms;
-  s.step = 5ms;
+  s.batch_interval = 5ms;
   s.start_capacity = 0.35;
   s.cold_time = 13s;
-  s.fall_multiple = 2;
-  s.fall_time = 1s;
+  s.overload_multiple = 2;
+  s.overload_duration = 1s;
   s.attempt_limit = 5;
-  s.longest_retry_advice = 2s;
-  s.retry_advice = true;
+  s.max_retry_after = 2s;
+  s.sends_retry_after = true;
   s.cancelling = true;
   return s;
 }
@@ -86,17 +88,18 @@
     feed(report);
   }
   std::vector<Action> offer(std::uint64_t id, ExchangeNumber to, std::uint32_t traffic_class = 0,
-                            std::uint64_t number_called = 0) {
+                            std::uint64_t called_number = 0) {
     CallOffered call;
     call.call = CallId{id};
     call.traffic_class = traffic_class;
     call.time_left = 3s;
     call.destination = to;
-    call.number_called = number_called;
+    call.called_number = called_number;
     return feed(call);
   }
-  std::vector<Action> end(std::uint64_t id, std::uint32_t exchange, Result result, Cause cause = Cause::none,
-                          LoadReport report = {}, std::uint32_t attempt = 0) {
+  std::vector<Action> end(std::uint64_t id, std::uint32_t exchange, AttemptResult result,
+                          FailureCause cause = FailureCause::none, LoadReport report = {},
+                          std::uint32_t attempt = 0) {
     AttemptEnded ended;
     ended.call = CallId{id};
     ended.attempt = attempt;
@@ -115,7 +118,7 @@
     AttemptEnded ended;
     ended.call = CallId{id};
     ended.exchange = ExchangeId{exchange};
-    ended.call_over = true;
+    ended.call_finished = true;
     ended.report = report;
     ended.report.free_circuits = 20;
     feed(ended);
--- a/tests/router/codec_test.cpp
+++ b/tests/router/codec_test.cpp
@@ -45,8 +45,8 @@
   const auto load = parse_load("x0:12;x1:40;eps:0.5;junk;recent_ms:-1;new:3", columns);
   CHECK(load.free_circuits == 12);
   CHECK(load.total_circuits == 40);
-  CHECK(load.hold_back == 0.5);
-  CHECK(load.wait_ms == -1);
+  CHECK(load.requested_shed_share == 0.5);
+  CHECK(load.queue_wait_ms == -1);
 }
 
 // ---- DNS ------------------------------------------------------------------------------------------------
--- a/tests/router/core_test.cpp
+++ b/tests/router/core_test.cpp
@@ -28,7 +28,7 @@
   World() {
     clock.set(now);
     router.set_carrier(*this);
-    DirectoryUpdate list{DirectoryUpdate::Kind::whole,
+    DirectoryUpdate list{DirectoryUpdate::Kind::snapshot,
                          {{.exchange = {1}, .number = 1}, {.exchange = {2}, .number = 2}}};
     router.directory(list);
   }
@@ -100,7 +100,7 @@
     again();
   }
   SECTION("reset") {
-    w.router.ended(w.sent[0], {.result = Result::reset});
+    w.router.ended(w.sent[0], {.result = AttemptResult::reset});
     again();
   }
   SECTION("cancel") {
@@ -118,13 +118,13 @@
 TEST_CASE("an attempt held for the release does not go to a converter that began to drain meanwhile") {
   World w;
   w.offer(3000, [&w](Handle id) { return SendSetUp{CallId{id}, ExchangeId{1}, w.at(2000)}; });
-  w.router.ended(w.sent[0], {.result = Result::reset});
+  w.router.ended(w.sent[0], {.result = AttemptResult::reset});
   w.decide(SendSetUp{CallId{w.request}, ExchangeId{2}, w.at(2000)});
   w.router.directory(
       {DirectoryUpdate::Kind::changes, {{.exchange = {2}, .number = 2, .state = ExchangeState::draining}}});
   w.pass(400);
   CHECK(w.sent.size() == 1);
-  CHECK(std::get<AttemptEnded>(w.events.back()).result == Result::not_sent);
+  CHECK(std::get<AttemptEnded>(w.events.back()).result == AttemptResult::not_sent);
 }
 
 TEST_CASE("a call that stood is released once, and a lost converter cuts what stands there") {
@@ -134,14 +134,14 @@
   w.router.stands(w.sent[0], "again");
   w.pass(5000);
   CHECK(w.router.standing() == 1);
-  SECTION("its end") { w.router.ended(w.sent[0], {.result = Result::ended}); }
+  SECTION("its end") { w.router.ended(w.sent[0], {.result = AttemptResult::ended}); }
   SECTION("its converter lost") {
     w.router.exchange_lost(ExchangeId{2}, w.now);
     w.router.exchange_lost(ExchangeId{1}, w.sent_at[0]);  // it began anew before it took this call
     CHECK(w.router.standing() == 1);
     w.router.exchange_lost(ExchangeId{1}, w.now);
   }
-  w.router.ended(w.sent[0], {.result = Result::reset});
+  w.router.ended(w.sent[0], {.result = AttemptResult::reset});
   w.router.exchange_lost(ExchangeId{1}, w.now);
   CHECK((w.said == Said{"served hello", "over"} || w.said == Said{"served hello", "released", "cut"}));
   CHECK(w.router.standing() == 0);
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -88,7 +88,7 @@
     EXPECT_FALSE(call.out) << "two attempts out";
     EXPECT_FALSE(call.answered || call.over) << "placed after its end";
     EXPECT_GE(now_, call.not_before) << "release not awaited";
-    EXPECT_LE(set_up.give_up_at, call.deadline);
+    EXPECT_LE(set_up.deadline, call.deadline);
     if (const auto it = told_.find(set_up.exchange); it != told_.end()) {
       EXPECT_LE(now_ - it->second, drain_grace) << "sent to a draining exchange";
     }
@@ -113,7 +113,7 @@
     for (const auto& [id, call] : calls_) {
       if (call.out && !call.standing && now_ >= call.deadline) late.push_back(id);
     }
-    for (const auto& id : late) end_attempt(id, Result::timed_out, false);
+    for (const auto& id : late) end_attempt(id, AttemptResult::timed_out, false);
   }
   void offer() {
     CallOffered call;
@@ -145,7 +145,7 @@
     DirectoryUpdate update;
     DirectoryEntry entry{.exchange = id, .number = static_cast<ExchangeNumber>(id.value - 100)};
     entry.state = static_cast<ExchangeState>(pick(3));
-    if (pick(2) == 0) entry.started = now_;
+    if (pick(2) == 0) entry.started_at = now_;
     if (entry.state == ExchangeState::ready) {
       told_.erase(id);
     } else {
@@ -170,29 +170,31 @@
     if (out.empty()) return;
     const auto id = out[pick(static_cast<std::uint32_t>(out.size()))];
     auto& call = calls_.at(id);
-    if (call.standing) return end_attempt(id, pick(2) == 0 ? Result::ended : Result::reset, true);
+    if (call.standing)
+      return end_attempt(id, pick(2) == 0 ? AttemptResult::ended : AttemptResult::reset, true);
     if (pick(2) == 0 && !call.over) {
       call.standing = true;
       return feed(CallStands{id, call.attempts - 1, *call.out, 100ms});
     }
-    constexpr std::array results{Result::error, Result::not_set_up, Result::connect_failed,
-                                 Result::reset, Result::cancelled,  Result::not_sent};
+    constexpr std::array results{AttemptResult::error,          AttemptResult::not_set_up,
+                                 AttemptResult::connect_failed, AttemptResult::reset,
+                                 AttemptResult::cancelled,      AttemptResult::not_sent};
     end_attempt(id, results[pick(results.size())], false);
   }
-  void end_attempt(CallId id, Result result, bool over) {
+  void end_attempt(CallId id, AttemptResult result, bool over) {
     auto& call = calls_.at(id);
     AttemptEnded end;
     end.call = id;
     end.attempt = call.attempts - 1;
     end.exchange = *call.out;
     end.result = result;
-    end.cause = static_cast<Cause>(pick(5));
-    end.call_over = over || call.over;
+    end.cause = static_cast<FailureCause>(pick(5));
+    end.call_finished = over || call.over;
     end.report.utilisation = pick(200) / 100.0;
     call.out.reset();
     if (over) call.over = true;
-    const bool awaited =
-        result == Result::timed_out || result == Result::reset || result == Result::cancelled;
+    const bool awaited = result == AttemptResult::timed_out || result == AttemptResult::reset ||
+                         result == AttemptResult::cancelled;
     if (awaited) call.not_before = now_ + mesh_settings().release_wait;
     feed(end);
   }
