--- a/src/platform/callers.cpp
+++ b/src/platform/caller_frontend.cpp
@@ -1,4 +1,4 @@
-#include "platform/callers.hpp"
+#include "platform/caller_frontend.hpp"
 
 #include <algorithm>
 #include <charconv>
@@ -34,7 +34,7 @@
 
 }  // namespace
 
-void EndedCalls::add(const std::string& call, double now) {
+void RecentlyEndedCalls::add(const std::string& call, double now) {
   if (calls_.insert(call).second) order_.emplace_back(now, call);
   while (!order_.empty() && (now - order_.front().first > words_under_way_ms || order_.size() > most_ended)) {
     calls_.erase(order_.front().second);
@@ -42,12 +42,13 @@
   }
 }
 
-Callers::Callers(Clock& clock, TimerQueue& timers, Connections& net, Router& router, const Config& config)
+CallerFrontend::CallerFrontend(Clock& clock, TimerQueue& timers, Connections& net, Router& router,
+                               const Config& config)
     : clock_(clock), timers_(timers), net_(net), router_(router), config_(config) {}
 
-void Callers::listen() { listener_ = net_.listen(config_.listen, *this, "caller", bounds()); }
+void CallerFrontend::listen() { listener_ = net_.listen(config_.listen, *this, "caller", bounds()); }
 
-Connections::Bounds Callers::bounds() const {
+Connections::Bounds CallerFrontend::bounds() const {
   return {
       .connections = config_.sockets / 2, .requests = most_requests, .first_message_ms = first_message_ms};
 }
@@ -56,7 +57,7 @@
 
 /// Guards against releases lost on the connection of a test, whose other end looks for nothing else and
 /// closes at once: a connection carries releases once it has brought a call, or has been quiet for a while.
-void Callers::on_connected(Handle connection) {
+void CallerFrontend::on_connected(Handle connection) {
   lines_[connection] = {};
   timers_.schedule(clock_.now_ms() + quiet_test_ms, [this, connection] {
     const auto it = lines_.find(connection);
@@ -64,7 +65,7 @@
   });
 }
 
-void Callers::know(Handle connection, Line::Known known) {
+void CallerFrontend::know(Handle connection, Line::Known known) {
   const auto it = lines_.find(connection);
   if (it == lines_.end()) return;
   const bool first = it->second.known == Line::Known::nothing;
@@ -74,13 +75,13 @@
     send_release(call, std::move(line), connection, no_handle, 0);
 }
 
-void Callers::on_input(Handle connection, evbuffer* in) {
+void CallerFrontend::on_input(Handle connection, evbuffer* in) {
   net_.each_line(connection, in, most_line, [this, connection](const std::string& line) {
     on_message(connection, parse_message(line));
   });
 }
 
-void Callers::on_ended(Handle connection, const char*) {
+void CallerFrontend::on_ended(Handle connection, const char*) {
   lines_.erase(connection);
   std::vector<Handle> lost;
   for (const auto& [request, taken] : taken_) {
@@ -102,7 +103,7 @@
   }
 }
 
-void Callers::on_message(Handle connection, const Message& message) {
+void CallerFrontend::on_message(Handle connection, const Message& message) {
   lines_[connection].turn = ++turn_;
   switch (message.op) {
     case Op::offer:
@@ -112,14 +113,14 @@
     case Op::test: {
       Message reply;
       reply.op = Op::tested;
-      reply.call = message.call;
-      reply.why = !door_closed_ && ready_() ? 1 : 0;
-      net_.write(connection, print_message(reply));
+      reply.call_id = message.call_id;
+      reply.code = !door_closed_ && ready_() ? 1 : 0;
+      net_.write(connection, serialize_message(reply));
       return;
     }
     case Op::ended:
       confirmed_ = true;
-      return heard(message.call);
+      return heard(message.call_id);
     case Op::ringing:
       return;
     case Op::accept:
@@ -130,33 +131,33 @@
   throw Unreadable{reason::unknown_op};  // nothing that a caller may say
 }
 
-void Callers::on_offer(Handle connection, const Message& message) {
-  if (const auto it = by_name_.find(message.call); it != by_name_.end()) {
+void CallerFrontend::on_offer(Handle connection, const Message& message) {
+  if (const auto it = by_name_.find(message.call_id); it != by_name_.end()) {
     // Guards against a call's answer being drawn to who merely names it: each set-up has a new id, and what
     // stands under this one is not touched.
     if (taken_[it->second].connection == connection) throw Unreadable{reason::malformed};
-    return refuse_junk(connection, message.call);
+    return refuse_junk(connection, message.call_id);
   }
   auto request = read_offer(message);
-  if (!request) return refuse_junk(connection, message.call);
-  if (!knows_number_(request->destination)) return refuse(connection, message.call, cause::error, 0);
+  if (!request) return refuse_junk(connection, message.call_id);
+  if (!knows_number_(request->destination)) return refuse(connection, message.call_id, cause::error, 0);
   know(connection, Line::Known::asked);
   if (door_closed_ || taken_.size() - standing_ >= config_.most_requests || !net_.begin_request(connection)) {
-    ended_.add(message.call, clock_.now_ms());
-    return refuse(connection, message.call, cause::congestion, turned_away_wait_ms);
+    ended_.add(message.call_id, clock_.now_ms());
+    return refuse(connection, message.call_id, cause::congestion, turned_away_wait_ms);
   }
   router_.offer(*this, std::move(*request), [&](Handle handle) {
-    taken_[handle] = {message.call, connection, false};
-    by_name_[message.call] = handle;
+    taken_[handle] = {message.call_id, connection, false};
+    by_name_[message.call_id] = handle;
   });
 }
 
 /// Nothing when no converter could use the set-up: a class or tenant that the settings do not name, a figure
 /// that is out of range or no number.
-std::optional<Request> Callers::read_offer(const Message& message) const {
+std::optional<Request> CallerFrontend::read_offer(const Message& message) const {
   const auto* class_name = message.field("class");
   const auto* extras = message.field("extras");
-  if (class_name == nullptr || extras == nullptr || !message.text) return std::nullopt;
+  if (class_name == nullptr || extras == nullptr || !message.description) return std::nullopt;
   const auto known = config_.classes.find(*class_name);
   if (known == config_.classes.end()) return std::nullopt;
   if (const auto* tenant = message.field("tenant");
@@ -170,17 +171,17 @@
   if (request.time_left_ms < 0 || request.time_left_ms > config_.longest_give_up_ms + left_slack_ms)
     return std::nullopt;
   request.redialled = message.number("retry", 0) != 0;
-  request.wire_id = message.call;
+  request.wire_id = message.call_id;
   request.class_name = *class_name;
-  request.body = *message.text;
+  request.body = *message.description;
   if (const auto* key = message.field("key")) {
     request.key = *key;
     const auto number = number_called(*key);
     if (!number) return std::nullopt;
     request.called_number = *number;
   }
-  const auto figures = parse_figures(*extras);
-  if (!figures.whole) return std::nullopt;
+  const auto figures = parse_named_numbers(*extras);
+  if (!figures.well_formed) return std::nullopt;
   for (const auto& [name, value] : figures.values) {
     if (name == "dest" && value != std::floor(value)) return std::nullopt;
     if (name == "dest") request.destination = maddershed::exchange_number(static_cast<float>(value));
@@ -195,27 +196,27 @@
 }
 
 /// A set-up that never became a request.
-void Callers::refuse(Handle connection, const std::string& call, int why, double wait_ms) {
+void CallerFrontend::refuse(Handle connection, const std::string& call, int why, double wait_ms) {
   Message reply;
-  reply.call = call;
-  reply.why = why;
+  reply.call_id = call;
+  reply.code = why;
   if (wait_ms > 0) reply.fields.emplace_back("wait", std::to_string(std::lround(wait_ms)));
-  net_.write(connection, print_message(reply));
+  net_.write(connection, serialize_message(reply));
 }
 
 /// Who sends nothing but what cannot be used is told so, and soon not listened to any more.
-void Callers::refuse_junk(Handle connection, const std::string& call) {
+void CallerFrontend::refuse_junk(Handle connection, const std::string& call) {
   refuse(connection, call, cause::error, 0);
   const auto it = lines_.find(connection);
   if (it != lines_.end() && ++it->second.junk >= most_junk) throw Unreadable{reason::malformed};
 }
 
-void Callers::on_end(Handle connection, const Message& message) {
+void CallerFrontend::on_end(Handle connection, const Message& message) {
   Message reply;
   reply.op = Op::ended;
-  reply.call = message.call;
-  net_.write(connection, print_message(reply));
-  if (const auto it = by_name_.find(message.call); it != by_name_.end()) {
+  reply.call_id = message.call_id;
+  net_.write(connection, serialize_message(reply));
+  if (const auto it = by_name_.find(message.call_id); it != by_name_.end()) {
     const auto request = it->second;
     const auto taken = taken_[request];
     // A call that stands is released on any connection; a set-up is given up on its own.
@@ -227,15 +228,15 @@
     } else {
       router_.caller_left(request);
     }
-  } else if (!ended_.has(message.call) && stray_may_pass()) {
+  } else if (!ended_.has(message.call_id) && stray_may_pass()) {
     // The call may have stood before this process began: whoever holds it cuts it on this word.
-    ended_.add(message.call, clock_.now_ms());
-    stray_(message.call);
+    ended_.add(message.call_id, clock_.now_ms());
+    stray_(message.call_id);
   }
 }
 
 /// Guards the converters against a caller that releases calls nobody has: each word goes to all of them.
-bool Callers::stray_may_pass() {
+bool CallerFrontend::stray_may_pass() {
   const double now = clock_.now_ms();
   strays_ = std::min(strays_a_second, strays_ + (now - strays_at_) / 1000 * strays_a_second);
   strays_at_ = now;
@@ -246,7 +247,7 @@
 
 // ---- Answers --------------------------------------------------------------------------------------------
 
-void Callers::forget(Handle request) {
+void CallerFrontend::forget(Handle request) {
   const auto it = taken_.find(request);
   if (it == taken_.end()) return;
   if (it->second.standing) {
@@ -259,7 +260,7 @@
   taken_.erase(it);
 }
 
-void Callers::on_request_served(Handle request, const std::string& text) {
+void CallerFrontend::on_request_served(Handle request, const std::string& text) {
   const auto it = taken_.find(request);
   if (it == taken_.end()) return;
   it->second.standing = true;
@@ -268,17 +269,17 @@
   know(it->second.connection, Line::Known::served);
   Message message;
   message.op = Op::accept;
-  message.call = it->second.name;
-  message.text = text;
-  net_.write(it->second.connection, print_message(message));
+  message.call_id = it->second.name;
+  message.description = text;
+  net_.write(it->second.connection, serialize_message(message));
 }
 
-void Callers::on_request_refused(Handle request, double wait_ms) {
+void CallerFrontend::on_request_refused(Handle request, double wait_ms) {
   turn_down(request, cause::congestion, wait_ms);
 }
-void Callers::on_request_failed(Handle request) { turn_down(request, cause::temporary_failure, 0); }
+void CallerFrontend::on_request_failed(Handle request) { turn_down(request, cause::temporary_failure, 0); }
 
-void Callers::turn_down(Handle request, int why, double wait_ms) {
+void CallerFrontend::turn_down(Handle request, int why, double wait_ms) {
   const auto it = taken_.find(request);
   if (it == taken_.end()) return;
   const auto taken = it->second;
@@ -286,7 +287,7 @@
   forget(request);
 }
 
-void Callers::on_call_ended(Handle request, CallEnd end) {
+void CallerFrontend::on_call_ended(Handle request, CallEnd end) {
   const auto it = taken_.find(request);
   if (it == taken_.end()) return;
   const auto taken = it->second;
@@ -295,18 +296,18 @@
 }
 
 /// A standing call belongs to no connection: its release goes on any, or on the next one that comes.
-void Callers::release(const std::string& call, int why, Handle preferred) {
+void CallerFrontend::release(const std::string& call, int why, Handle preferred) {
   Message message;
-  message.call = call;
-  message.why = why;
-  send_release(call, print_message(message), preferred, no_handle, 0);
+  message.call_id = call;
+  message.code = why;
+  send_release(call, serialize_message(message), preferred, no_handle, 0);
 }
 
 /// Guards against a release that nobody takes in: best is the connection that brought the call, then one
 /// whose calls were served, then one that asked, the one heard from last each time; and where callers
 /// confirm, what is not confirmed goes once more, on another connection if there is one.
-void Callers::send_release(const std::string& call, std::string line, Handle preferred, Handle avoided,
-                           int sent) {
+void CallerFrontend::send_release(const std::string& call, std::string line, Handle preferred, Handle avoided,
+                                  int sent) {
   while (true) {
     auto best = lines_.find(preferred);
     if (best == lines_.end() || best->second.known == Line::Known::nothing) {
@@ -340,15 +341,15 @@
   unsaid_.emplace_back(call, std::move(line));
 }
 
-void Callers::heard(const std::string& call) {
+void CallerFrontend::heard(const std::string& call) {
   const auto it = unheard_.find(call);
   if (it == unheard_.end()) return;
   timers_.cancel(it->second.again);
   unheard_.erase(it);
 }
 
-void Callers::stray_over(const std::string& call, int why) {
-  if (knows(call)) return;
+void CallerFrontend::end_unknown_call(const std::string& call, int why) {
+  if (knows_call(call)) return;
   ended_.add(call, clock_.now_ms());
   release(call, why, no_handle);
 }
--- a/src/platform/callers.hpp
+++ b/src/platform/caller_frontend.hpp
@@ -18,7 +18,7 @@
 namespace heathturn {
 
 /// The ids of calls that this process has brought to their end, kept while words on them may be under way.
-class EndedCalls {
+class RecentlyEndedCalls {
  public:
   void add(const std::string& call, double now);
   [[nodiscard]] bool has(const std::string& call) const { return calls_.contains(call); }
@@ -28,25 +28,27 @@
   std::deque<std::pair<double, std::string>> order_;
 };
 
-class Callers : public Frontend, public ConnectionUser {
+class CallerFrontend : public Frontend, public ConnectionUser {
  public:
-  Callers(Clock& clock, TimerQueue& timers, Connections& net, Router& router, const Config& config);
+  CallerFrontend(Clock& clock, TimerQueue& timers, Connections& net, Router& router, const Config& config);
   void listen();
   /// The bounds of the configuration as it is now.
-  void set_bounds() { net_.set_bounds(listener_, bounds()); }
-  void set_ready(std::function<bool()> ready) { ready_ = std::move(ready); }
+  void update_limits() { net_.set_bounds(listener_, bounds()); }
+  void set_readiness_check(std::function<bool()> ready) { ready_ = std::move(ready); }
   /// Told of a release for a call that this process never had.
-  void set_stray_release(std::function<void(const std::string&)> stray) { stray_ = std::move(stray); }
+  void set_unknown_release_handler(std::function<void(const std::string&)> stray) {
+    stray_ = std::move(stray);
+  }
   /// Whether any converter has this number.
-  void set_knows_number(std::function<bool(maddershed::ExchangeNumber)> knows) {
+  void set_number_check(std::function<bool(maddershed::ExchangeNumber)> knows) {
     knows_number_ = std::move(knows);
   }
   /// New set-ups are refused from here on.
-  void close_door() { door_closed_ = true; }
+  void refuse_new_requests() { door_closed_ = true; }
   /// A converter's word on a call that stood before this process began.
-  void stray_over(const std::string& call, int why);
-  [[nodiscard]] bool knows(const std::string& call) const {
-    return by_name_.contains(call) || ended_.has(call);
+  void end_unknown_call(const std::string& call, int why);
+  [[nodiscard]] bool knows_call(const std::string& call_id) const {
+    return by_name_.contains(call_id) || ended_.has(call_id);
   }
 
   void on_request_served(Handle request, const std::string& answer) override;
@@ -102,7 +104,7 @@
   std::function<bool(maddershed::ExchangeNumber)> knows_number_;
   std::unordered_map<Handle, Taken> taken_;
   std::unordered_map<std::string, Handle> by_name_;
-  EndedCalls ended_;
+  RecentlyEndedCalls ended_;
   std::unordered_map<Handle, Line> lines_;            ///< by connection
   std::unordered_map<std::string, Unheard> unheard_;  ///< by call
   std::deque<std::pair<std::string, std::string>>
--- a/src/platform/converters.cpp
+++ b/src/platform/converter_backend.cpp
@@ -1,4 +1,4 @@
-#include "platform/converters.hpp"
+#include "platform/converter_backend.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -42,9 +42,9 @@
 /// What a release before the answer means.
 AttemptResult result_of(int why) {
   switch (why) {
-    case cause::full:
+    case cause::no_circuit:
       return AttemptResult::not_set_up;
-    case cause::moot:
+    case cause::timer_expired:
       return AttemptResult::not_sent;
     case cause::temporary_failure:
       return AttemptResult::reset;
@@ -55,16 +55,16 @@
 
 }  // namespace
 
-Converters::Converters(Clock& clock, TimerQueue& timers, Connections& net, Router& router,
-                       const Config& config)
+ConverterBackend::ConverterBackend(Clock& clock, TimerQueue& timers, Connections& net, Router& router,
+                                   const Config& config)
     : clock_(clock), timers_(timers), net_(net), router_(router), config_(config) {}
 
 // ---- The list -------------------------------------------------------------------------------------------
 
-void Converters::update(const std::vector<Converter>& list, bool whole) {
+void ConverterBackend::update_list(const std::vector<Converter>& list, bool is_snapshot) {
   DirectoryUpdate update;
-  update.kind = whole ? DirectoryUpdate::Kind::snapshot : DirectoryUpdate::Kind::changes;
-  if (whole) {
+  update.kind = is_snapshot ? DirectoryUpdate::Kind::snapshot : DirectoryUpdate::Kind::changes;
+  if (is_snapshot) {
     for (auto& [id, link] : links_) link.converter.entry.state = ExchangeState::gone;
   }
   for (const auto& converter : list) {
@@ -107,14 +107,14 @@
   router_.directory_updated(update);
 }
 
-bool Converters::all_heard() const {
+bool ConverterBackend::all_states_reported() const {
   return std::all_of(links_.begin(), links_.end(), [](const auto& each) {
     const auto& link = each.second;
     return link.state_told || link.own || link.converter.entry.state != ExchangeState::ready;
   });
 }
 
-std::vector<ConverterView> Converters::view() const {
+std::vector<ConverterView> ConverterBackend::view() const {
   std::vector<ConverterView> out;
   for (const auto& [id, link] : links_) {
     const auto open =
@@ -126,7 +126,8 @@
 
 // ---- Connections ----------------------------------------------------------------------------------------
 
-void Converters::secure(std::shared_ptr<tls::Context> context, const handshakes::Settings& settings) {
+void ConverterBackend::enable_tls(std::shared_ptr<tls::Context> context,
+                                  const handshakes::Settings& settings) {
   context_ = std::move(context);
   if (admission_) return;
   admission_ = std::make_unique<handshakes::Admission>(settings, config_.seed);
@@ -134,7 +135,7 @@
   for (const auto& [id, link] : links_) list_for_admission(link);
 }
 
-void Converters::list_for_admission(const Link& link) {
+void ConverterBackend::list_for_admission(const Link& link) {
   if (!context_ || link.own) return;
   const auto& entry = link.converter.entry;
   admission_->listed(entry.exchange, clock_.now_ms(),
@@ -143,7 +144,7 @@
 }
 
 /// As the admission allows; no_handle when it must wait. What cannot wait with it is given back at once.
-Handle Converters::open_secured(Link& link, std::size_t line) {
+Handle ConverterBackend::open_secured(Link& link, std::size_t line) {
   const auto id = link.converter.entry.exchange;
   const double now = clock_.now_ms();
   double latest = 0;
@@ -172,7 +173,7 @@
   return no_handle;
 }
 
-void Converters::open(Link& link, std::size_t line) {
+void ConverterBackend::open(Link& link, std::size_t line) {
   timers_.cancel(link.lines[line].retry);
   const auto connection =
       context_ ? open_secured(link, line)
@@ -183,13 +184,13 @@
   lines_[connection] = {link.converter.entry.exchange, line};
 }
 
-void Converters::open_later(Link& link, std::size_t line) {
+void ConverterBackend::open_later(Link& link, std::size_t line) {
   if (link.converter.entry.state == ExchangeState::gone) return;
   link.retry_ms = std::clamp(2 * link.retry_ms, retry_first_ms, retry_most_ms);
   open_at(link, line, clock_.now_ms() + link.retry_ms);
 }
 
-void Converters::open_at(Link& link, std::size_t line, double time) {
+void ConverterBackend::open_at(Link& link, std::size_t line, double time) {
   const auto id = link.converter.entry.exchange;
   timers_.cancel(link.lines[line].retry);
   link.lines[line].retry = timers_.schedule(time, [this, id, line] {
@@ -203,7 +204,7 @@
 
 /// Stays with one connection as long as it is heard, so that set-ups and the group's state go in one order;
 /// the other takes over when it is heard and the first is not.
-Handle Converters::open_connection(Link& link) {
+Handle ConverterBackend::open_connection(Link& link) {
   const auto& lines = link.lines;
   for (std::size_t i = 0; i < held_connections; ++i) {
     const auto& now = lines[link.preferred];
@@ -217,7 +218,7 @@
   return lines[link.preferred].open ? lines[link.preferred].connection : no_handle;
 }
 
-void Converters::on_connected(Handle connection) {
+void ConverterBackend::on_connected(Handle connection) {
   const auto at = lines_[connection];
   auto& link = links_[at.exchange];
   if (context_) {
@@ -236,7 +237,7 @@
   }
 }
 
-void Converters::on_ended(Handle connection, const char* why) {
+void ConverterBackend::on_ended(Handle connection, const char* why) {
   const auto at = lines_[connection];
   lines_.erase(connection);
   auto& link = links_[at.exchange];
@@ -279,7 +280,7 @@
 }
 
 /// No connection came up for them: nothing ran.
-void Converters::fail_waiting(Link& link) {
+void ConverterBackend::fail_waiting(Link& link) {
   for (const auto attempt : std::exchange(link.waiting, {})) {
     if (!attempts_.contains(attempt)) continue;
     forget(attempt);
@@ -287,7 +288,7 @@
   }
 }
 
-void Converters::on_input(Handle connection, evbuffer* in) {
+void ConverterBackend::on_input(Handle connection, evbuffer* in) {
   const auto at = lines_[connection];
   auto& link = links_[at.exchange];
   auto& told = link.lines[at.line];
@@ -300,7 +301,7 @@
 
 /// Guards against a machine that vanished, or one connection that leads nowhere any more: it stays open and
 /// quiet for ever.
-void Converters::watch(ExchangeId id) {
+void ConverterBackend::watch(ExchangeId id) {
   auto& link = links_[id];
   const double now = clock_.now_ms();
   if (link.gone != 0 && now - link.gone >= gone_after_ms) {
@@ -336,7 +337,7 @@
 }
 
 /// Forgets a converter that is gone for good.
-void Converters::drop(ExchangeId id) {
+void ConverterBackend::drop(ExchangeId id) {
   auto& link = links_[id];
   for (auto& line : link.lines) {
     if (line.connection != no_handle) net_.close(line.connection, reason::withdrawn);
@@ -351,19 +352,19 @@
 
 // ---- Attempts -------------------------------------------------------------------------------------------
 
-void Converters::send_attempt(Handle attempt, ExchangeId exchange, const Request& request,
-                              double time_left_ms) {
+void ConverterBackend::send_attempt(Handle attempt, ExchangeId exchange, const Request& request,
+                                    double time_left_ms) {
   const auto it = links_.find(exchange);
   if (it == links_.end()) return router_.attempt_ended(attempt, {.result = AttemptResult::connect_failed});
   auto& link = it->second;
   Message message;
   message.op = Op::offer;
-  message.call = request.wire_id;
+  message.call_id = request.wire_id;
   message.fields = {{"class", request.class_name},
                     {"key", request.key},
                     {"left", std::to_string(std::lround(std::floor(time_left_ms)))}};
-  message.text = request.body;
-  attempts_[attempt] = {exchange, request.wire_id, no_handle, print_message(message),
+  message.description = request.body;
+  attempts_[attempt] = {exchange, request.wire_id, no_handle, serialize_message(message),
                         clock_.now_ms() + time_left_ms};
   link.unheard.erase(request.wire_id);  // an end said before must not follow the new attempt
   link.attempts[request.wire_id] = attempt;
@@ -378,7 +379,7 @@
   if (!coming) open(link, 0);
 }
 
-void Converters::write_set_up(Handle attempt, Handle connection) {
+void ConverterBackend::write_set_up(Handle attempt, Handle connection) {
   auto& out = attempts_[attempt];
   out.connection = connection;
   const auto line = std::move(out.line);
@@ -389,39 +390,39 @@
   router_.attempt_ended(attempt, {.result = AttemptResult::reset});
 }
 
-void Converters::forget(Handle attempt) {
+void ConverterBackend::forget(Handle attempt) {
   const auto it = attempts_.find(attempt);
   if (it == attempts_.end()) return;
   auto& link = links_[it->second.exchange];
   std::erase(link.waiting, attempt);
-  link.attempts.erase(it->second.call);
+  link.attempts.erase(it->second.call_id);
   attempts_.erase(it);
 }
 
-void Converters::abandon_attempt(Handle attempt) {
+void ConverterBackend::abandon_attempt(Handle attempt) {
   const auto it = attempts_.find(attempt);
   if (it == attempts_.end()) return;
   const auto out = it->second;
   forget(attempt);
   // A set-up that still waited for its connection never left.
-  if (out.connection != no_handle) say_end(links_[out.exchange], out.call, out.connection);
+  if (out.connection != no_handle) say_end(links_[out.exchange], out.call_id, out.connection);
 }
 
-void Converters::release_call(Handle attempt) {
+void ConverterBackend::release_call(Handle attempt) {
   const auto it = attempts_.find(attempt);
   if (it == attempts_.end()) return;
   const auto out = it->second;
   forget(attempt);
-  say_end(links_[out.exchange], out.call, out.connection);
+  say_end(links_[out.exchange], out.call_id, out.connection);
 }
 
 /// Guards against a release that is written on a connection already dead: until the converter confirms it,
 /// it goes once more when its connection ends.
-void Converters::say_end(Link& link, const std::string& call, Handle preferred) {
+void ConverterBackend::say_end(Link& link, const std::string& call, Handle preferred) {
   Message message;
-  message.call = call;
-  message.why = cause::normal;
-  const auto line = print_message(message);
+  message.call_id = call;
+  message.code = cause::normal;
+  const auto line = serialize_message(message);
   for (const auto connection : {preferred, open_connection(link)}) {
     if (connection == no_handle || !net_.write(connection, line)) continue;
     if (link.unheard.size() < most_unsaid) link.unheard[call] = {connection, clock_.now_ms()};
@@ -430,22 +431,22 @@
   if (link.unsaid.size() < most_unsaid) link.unsaid.push_back(call);
 }
 
-void Converters::release_anywhere(const std::string& call) {
+void ConverterBackend::release_at_all_converters(const std::string& call) {
   for (auto& [id, link] : links_) say_end(link, call, no_handle);
 }
 
-void Converters::send_test(Link& link, Handle connection, int why) {
+void ConverterBackend::send_test(Link& link, Handle connection, int why) {
   std::array<char, 24> id{};
   std::snprintf(id.data(), id.size(), "%016llx", static_cast<unsigned long long>(++last_test_));
   Message message;
   message.op = Op::test;
-  message.call = id.data();
-  message.why = why;
-  if (why == 1) probes_[message.call] = {link.converter.entry.exchange, clock_.now_ms()};
-  net_.write(connection, print_message(message));
+  message.call_id = id.data();
+  message.code = why;
+  if (why == 1) probes_[message.call_id] = {link.converter.entry.exchange, clock_.now_ms()};
+  net_.write(connection, serialize_message(message));
 }
 
-void Converters::probe(ExchangeId exchange) {
+void ConverterBackend::probe(ExchangeId exchange) {
   const auto it = links_.find(exchange);
   const auto connection = it == links_.end() ? no_handle : open_connection(it->second);
   if (connection == no_handle) return router_.exchange_reported(exchange, {}, false);
@@ -454,15 +455,15 @@
 
 // ---- What converters say --------------------------------------------------------------------------------
 
-LoadReport Converters::load_of(const Message& message) const {
+LoadReport ConverterBackend::load_of(const Message& message) const {
   const auto* load = message.field("load");
-  return load == nullptr ? LoadReport{} : parse_load(*load, config_.columns);
+  return load == nullptr ? LoadReport{} : parse_load_report(*load, config_.columns);
 }
 
-void Converters::on_message(Link& link, Handle connection, const Message& message) {
+void ConverterBackend::on_message(Link& link, Handle connection, const Message& message) {
   const auto id = link.converter.entry.exchange;
   const bool failed_test =
-      message.op == Op::tested && message.why.value_or(1) == 0 && !probes_.contains(message.call);
+      message.op == Op::tested && message.code.value_or(1) == 0 && !probes_.contains(message.call_id);
   if (!failed_test) {
     link.down = 0;
   } else if (link.down == 0) {
@@ -472,7 +473,7 @@
     case Op::ringing:
       return;
     case Op::ended:
-      link.unheard.erase(message.call);
+      link.unheard.erase(message.call_id);
       return;
     case Op::group:
       link.state_told = true;
@@ -483,18 +484,18 @@
       if (connection != open_connection(link)) return;
       return router_.exchange_reported(id, load_of(message));
     case Op::tested: {
-      const auto probe = probes_.find(message.call);
+      const auto probe = probes_.find(message.call_id);
       if (probe == probes_.end()) return;
       const double elapsed = clock_.now_ms() - probe->second.second;
       probes_.erase(probe);
-      return router_.exchange_reported(id, load_of(message), message.why.value_or(1) != 0, elapsed);
+      return router_.exchange_reported(id, load_of(message), message.code.value_or(1) != 0, elapsed);
     }
     case Op::accept: {
-      if (!message.text) throw Unreadable{reason::malformed};
-      const auto it = link.attempts.find(message.call);
-      if (it != link.attempts.end()) return router_.attempt_succeeded(it->second, *message.text);
+      if (!message.description) throw Unreadable{reason::malformed};
+      const auto it = link.attempts.find(message.call_id);
+      if (it != link.attempts.end()) return router_.attempt_succeeded(it->second, *message.description);
       // It stands for nobody: the word that it was given up has crossed it, or a restart lies between.
-      return say_end(link, message.call, connection);
+      return say_end(link, message.call_id, connection);
     }
     case Op::end:
       return on_end(link, connection, message);
@@ -505,12 +506,12 @@
   throw Unreadable{reason::unknown_op};  // nothing that a converter may say
 }
 
-void Converters::on_end(Link& link, Handle connection, const Message& message) {
-  const int why = message.why.value_or(cause::normal);
-  const auto it = link.attempts.find(message.call);
+void ConverterBackend::on_end(Link& link, Handle connection, const Message& message) {
+  const int why = message.code.value_or(cause::normal);
+  const auto it = link.attempts.find(message.call_id);
   if (it == link.attempts.end()) {
     // Only what ends a standing call is passed on: a refusal for an unknown id ends a set-up given up.
-    if (why == cause::normal || why == cause::temporary_failure) stray_(message.call, why);
+    if (why == cause::normal || why == cause::temporary_failure) stray_(message.call_id, why);
     return;
   }
   const auto attempt = it->second;
@@ -520,8 +521,8 @@
     outcome.result = why == cause::normal ? AttemptResult::ended : AttemptResult::reset;
     Message heard;
     heard.op = Op::ended;
-    heard.call = message.call;
-    net_.write(connection, print_message(heard));
+    heard.call_id = message.call_id;
+    net_.write(connection, serialize_message(heard));
   } else {
     outcome.result = result_of(why);
     if (const auto* note = message.field("note")) outcome.cause = cause_of(*note);
--- a/src/platform/converters.hpp
+++ b/src/platform/converter_backend.hpp
@@ -19,24 +19,26 @@
 
 namespace heathturn {
 
-class Converters : public Backend, public ConnectionUser {
+class ConverterBackend : public Backend, public ConnectionUser {
  public:
-  Converters(Clock& clock, TimerQueue& timers, Connections& net, Router& router, const Config& config);
+  ConverterBackend(Clock& clock, TimerQueue& timers, Connections& net, Router& router, const Config& config);
   /// Converters that the list names, or that it names anew. `whole`: those it leaves out are gone.
-  void update(const std::vector<Converter>& list, bool whole);
+  void update_list(const std::vector<Converter>& list, bool is_snapshot);
   /// Told of a converter's word on a call that this process never had.
-  void set_stray(std::function<void(const std::string&, int)> stray) { stray_ = std::move(stray); }
+  void set_unknown_end_handler(std::function<void(const std::string&, int)> stray) {
+    stray_ = std::move(stray);
+  }
   /// Cuts a call whose converter is not known.
-  void release_anywhere(const std::string& call);
+  void release_at_all_converters(const std::string& call);
   /// Each converter in service has told the state of its group.
-  [[nodiscard]] bool all_heard() const;
+  [[nodiscard]] bool all_states_reported() const;
   /// Whether some converter has, or had, this number.
-  [[nodiscard]] bool knows_number(maddershed::ExchangeNumber number) const {
+  [[nodiscard]] bool is_known_number(maddershed::ExchangeNumber number) const {
     return numbers_.contains(number);
   }
   [[nodiscard]] std::vector<ConverterView> view() const;
   /// Connections opened from now on speak TLS by this context, as the admission allows.
-  void secure(std::shared_ptr<tls::Context> context, const handshakes::Settings& settings);
+  void enable_tls(std::shared_ptr<tls::Context> context, const handshakes::Settings& settings);
 
   void send_attempt(Handle attempt, ExchangeId exchange, const Request& request,
                     double time_left_ms) override;
@@ -82,7 +84,7 @@
   };
   struct Out {
     ExchangeId exchange;
-    std::string call;
+    std::string call_id;
     Handle connection = no_handle;  ///< none while it waits for one
     std::string line;
     double due = 0;  ///< of no use after it
--- a/src/platform/bus.cpp
+++ b/src/platform/event_bus_client.cpp
@@ -1,4 +1,4 @@
-#include "platform/bus.hpp"
+#include "platform/event_bus_client.hpp"
 
 #include <algorithm>
 
@@ -19,21 +19,26 @@
 
 }  // namespace
 
-EventBus::EventBus(Clock& clock, TimerQueue& timers, Connections& net, const Address& at,
-                   std::uint64_t offset, Sink sink)
-    : clock_(clock), timers_(timers), net_(net), at_(at), offset_(offset), sink_(std::move(sink)) {}
+EventBusClient::EventBusClient(Clock& clock, TimerQueue& timers, Connections& net, const Address& address,
+                               std::uint64_t offset, ListHandler on_list)
+    : clock_(clock),
+      timers_(timers),
+      net_(net),
+      address_(address),
+      offset_(offset),
+      on_list_(std::move(on_list)) {}
 
-void EventBus::start() { connection_ = net_.connect(at_, *this, "bus", connect_timeout_ms); }
+void EventBusClient::start() { connection_ = net_.connect(address_, *this, "bus", connect_timeout_ms); }
 
-void EventBus::move(const Address& to) {
-  if (to == at_) return;
-  at_ = to;
+void EventBusClient::set_address(const Address& address) {
+  if (address == address_) return;
+  address_ = address;
   retry_ms_ = 0;
   // What the old one has not told the new one will; without a connection the next try goes there.
   if (connection_ != no_handle) net_.close(connection_, reason::withdrawn);
 }
 
-void EventBus::expect_word() {
+void EventBusClient::expect_word() {
   timers_.cancel(silence_);
   silence_ = timers_.schedule(clock_.now_ms() + silent_after_ms, [this] {
     silence_ = {};
@@ -41,14 +46,14 @@
   });
 }
 
-void EventBus::on_connected(Handle connection) {
+void EventBusClient::on_connected(Handle connection) {
   std::string hello;
   put_big_endian(hello, offset_, 8);
   net_.write(connection, hello);
   expect_word();
 }
 
-void EventBus::on_input(Handle connection, evbuffer* in) {
+void EventBusClient::on_input(Handle connection, evbuffer* in) {
   net_.each_counted(connection, in, 4, most_frame, [this](const std::string& frame) {
     // A bus that takes connections and then fails at once is not asked in a tight loop.
     retry_ms_ = 0;
@@ -57,14 +62,14 @@
   });
 }
 
-void EventBus::on_ended(Handle, const char*) {
+void EventBusClient::on_ended(Handle, const char*) {
   timers_.cancel(silence_);
   connection_ = no_handle;
   retry_ms_ = std::clamp(2 * retry_ms_, retry_first_ms, retry_most_ms);
   timers_.schedule(clock_.now_ms() + retry_ms_, [this] { start(); });
 }
 
-bool EventBus::take(const std::string& frame) {
+bool EventBusClient::take(const std::string& frame) {
   if (frame.empty()) return true;
   if (frame.size() < head_size) return false;
   const auto number = big_endian(frame, 0, 8);
@@ -92,7 +97,7 @@
   // Heard already: an older list must not bring back what has drained since.
   if (number < offset_ || (number == offset_ && kind == 2)) return true;
   offset_ = std::max(offset_, number);
-  sink_(list, kind == 1);
+  on_list_(list, kind == 1);
   return true;
 }
 
--- a/src/platform/bus.hpp
+++ b/src/platform/event_bus_client.hpp
@@ -10,14 +10,14 @@
 
 namespace heathturn {
 
-class EventBus : public ConnectionUser {
+class EventBusClient : public ConnectionUser {
  public:
-  using Sink = std::function<void(const std::vector<Converter>&, bool whole)>;
-  EventBus(Clock& clock, TimerQueue& timers, Connections& net, const Address& at, std::uint64_t offset,
-           Sink sink);
+  using ListHandler = std::function<void(const std::vector<Converter>&, bool is_snapshot)>;
+  EventBusClient(Clock& clock, TimerQueue& timers, Connections& net, const Address& address,
+                 std::uint64_t offset, ListHandler on_list);
   void start();
   /// From now on the bus is there; its numbers go on.
-  void move(const Address& to);
+  void set_address(const Address& address);
 
   void on_connected(Handle connection) override;
   void on_input(Handle connection, evbuffer* in) override;
@@ -30,9 +30,9 @@
   Clock& clock_;
   TimerQueue& timers_;
   Connections& net_;
-  Address at_;
+  Address address_;
   std::uint64_t offset_;
-  Sink sink_;
+  ListHandler on_list_;
   Handle connection_ = no_handle;
   double retry_ms_ = 0;
   TimerQueue::Key silence_;
--- a/src/platform/message.cpp
+++ b/src/platform/message.cpp
@@ -83,10 +83,10 @@
   message.op = static_cast<Op>(index);
   if (const auto call = json.FindMember("call"); call != json.MemberEnd()) {
     if (!call->value.IsString()) throw Unreadable{reason::malformed};
-    message.call = text_of(call->value);
+    message.call_id = text_of(call->value);
   }
   const bool about_call = message.op != Op::group && message.op != Op::test && message.op != Op::tested;
-  if (about_call && !is_call(message.call)) throw Unreadable{reason::malformed};
+  if (about_call && !is_call(message.call_id)) throw Unreadable{reason::malformed};
   if (const auto with = json.FindMember("with"); with != json.MemberEnd() && !with->value.IsNull()) {
     if (!with->value.IsObject()) throw Unreadable{reason::malformed};
     for (const auto& member : with->value.GetObject()) {
@@ -101,16 +101,16 @@
   }
   if (const auto why = json.FindMember("why"); why != json.MemberEnd() && !why->value.IsNull()) {
     if (!why->value.IsInt()) throw Unreadable{reason::malformed};
-    message.why = why->value.GetInt();
+    message.code = why->value.GetInt();
   }
   if (const auto desc = json.FindMember("desc"); desc != json.MemberEnd() && !desc->value.IsNull()) {
     if (!desc->value.IsString()) throw Unreadable{reason::malformed};
-    message.text = text_of(desc->value);
+    message.description = text_of(desc->value);
   }
   return message;
 }
 
-std::string print_message(const Message& message) {
+std::string serialize_message(const Message& message) {
   rapidjson::StringBuffer out;
   rapidjson::Writer<rapidjson::StringBuffer> json(out);
   const auto put = [&json](std::string_view text) {
@@ -120,7 +120,7 @@
   json.Key("op");
   put(names[static_cast<std::size_t>(message.op)]);
   json.Key("call");
-  put(message.call);
+  put(message.call_id);
   json.Key("with");
   json.StartObject();
   for (const auto& [key, value] : message.fields) {
@@ -128,20 +128,20 @@
     put(value);
   }
   json.EndObject();
-  if (message.why) {
+  if (message.code) {
     json.Key("why");
-    json.Int(*message.why);
+    json.Int(*message.code);
   }
-  if (message.text) {
+  if (message.description) {
     json.Key("desc");
-    put(*message.text);
+    put(*message.description);
   }
   json.EndObject();
   return std::string(out.GetString(), out.GetSize()) + "\n";
 }
 
-Figures parse_figures(const std::string& text) {
-  Figures out;
+NamedNumbers parse_named_numbers(const std::string& text) {
+  NamedNumbers out;
   std::string_view rest = text;
   while (!rest.empty()) {
     const auto end = std::min(rest.find(';'), rest.size());
@@ -151,16 +151,16 @@
     if (value) {
       out.values.emplace_back(part.substr(0, colon), *value);
     } else {
-      out.whole = false;
+      out.well_formed = false;
     }
     rest.remove_prefix(std::min(end + 1, rest.size()));
   }
   return out;
 }
 
-maddershed::LoadReport parse_load(const std::string& text, const std::vector<std::string>& columns) {
+maddershed::LoadReport parse_load_report(const std::string& text, const std::vector<std::string>& columns) {
   std::vector<float> figures(columns.size(), -1.0F);
-  for (const auto& [name, value] : parse_figures(text).values) {
+  for (const auto& [name, value] : parse_named_numbers(text).values) {
     for (std::size_t i = 0; i < columns.size(); ++i) {
       if (columns[i] == name || columns[i] == settings_word(name)) figures[i] = static_cast<float>(value);
     }
--- a/src/platform/message.hpp
+++ b/src/platform/message.hpp
@@ -17,19 +17,19 @@
 namespace cause {
 inline constexpr int normal = 16;
 inline constexpr int busy = 17;
-inline constexpr int full = 34;
+inline constexpr int no_circuit = 34;
 inline constexpr int temporary_failure = 41;
 inline constexpr int congestion = 42;
 inline constexpr int error = 47;
-inline constexpr int moot = 102;
+inline constexpr int timer_expired = 102;
 }  // namespace cause
 
 struct Message {
   Op op = Op::end;
-  std::string call;
+  std::string call_id;
   std::vector<std::pair<std::string, std::string>> fields;  ///< strings; numbers as their text
-  std::optional<int> why;
-  std::optional<std::string> text;  ///< the description
+  std::optional<int> code;
+  std::optional<std::string> description;
 
   [[nodiscard]] const std::string* field(std::string_view name) const;
   [[nodiscard]] double number(std::string_view name, double otherwise) const;
@@ -38,15 +38,15 @@
 /// Throws Unreadable with the reason code for the connection's end.
 [[nodiscard]] Message parse_message(const std::string& line);
 /// With the line feed.
-[[nodiscard]] std::string print_message(const Message& message);
+[[nodiscard]] std::string serialize_message(const Message& message);
 
 /// "dest:2;width:1;via:-1" as pairs; parts without a number are left out, and it is not whole then.
-struct Figures {
+struct NamedNumbers {
   std::vector<std::pair<std::string, double>> values;
-  bool whole = true;
+  bool well_formed = true;
 };
-[[nodiscard]] Figures parse_figures(const std::string& text);
-[[nodiscard]] maddershed::LoadReport parse_load(const std::string& text,
-                                                const std::vector<std::string>& columns);
+[[nodiscard]] NamedNumbers parse_named_numbers(const std::string& text);
+[[nodiscard]] maddershed::LoadReport parse_load_report(const std::string& text,
+                                                       const std::vector<std::string>& columns);
 
 }  // namespace heathturn
--- a/src/platform/platform_service.cpp
+++ b/src/platform/platform_service.cpp
@@ -26,11 +26,14 @@
   program.net().set_most_unsent(config_.most_unsent);
   router_.set_backend(converters_);
   router_.set_log(program.log_sink());
-  converters_.set_stray([this](const std::string& call, int why) { callers_.stray_over(call, why); });
-  callers_.set_stray_release([this](const std::string& call) { converters_.release_anywhere(call); });
-  callers_.set_knows_number([this](ExchangeNumber number) { return converters_.knows_number(number); });
-  callers_.set_ready([this] {
-    return converters_.all_heard() || program_.clock().now_ms() - program_.started() >= ready_anyway_ms;
+  converters_.set_unknown_end_handler(
+      [this](const std::string& call, int why) { callers_.end_unknown_call(call, why); });
+  callers_.set_unknown_release_handler(
+      [this](const std::string& call) { converters_.release_at_all_converters(call); });
+  callers_.set_number_check([this](ExchangeNumber number) { return converters_.is_known_number(number); });
+  callers_.set_readiness_check([this] {
+    return converters_.all_states_reported() ||
+           program_.clock().now_ms() - program_.started() >= ready_anyway_ms;
   });
 }
 
@@ -43,22 +46,24 @@
   settings.routers = config_.settings.controller_count;
   settings.start_capacity = std::max(0.01, config_.settings.start_capacity);
   settings.cold_time = to_ms(config_.settings.cold_time);
-  converters_.secure(std::make_shared<tls::Context>(*site.converter_tls, program_.clock().now_ms()),
-                     settings);
+  converters_.enable_tls(std::make_shared<tls::Context>(*site.converter_tls, program_.clock().now_ms()),
+                         settings);
 }
 
 void PlatformService::start() {
   router_.start();
-  converters_.update(config_.known, true);
+  converters_.update_list(config_.known, true);
   start_bus();
   callers_.listen();
 }
 
 void PlatformService::start_bus() {
   if (!config_.bus) return;
-  bus_ = std::make_unique<EventBus>(
-      program_.clock(), program_.timers(), program_.net(), *config_.bus, config_.known_offset,
-      [this](const std::vector<Converter>& list, bool whole) { converters_.update(list, whole); });
+  bus_ = std::make_unique<EventBusClient>(program_.clock(), program_.timers(), program_.net(), *config_.bus,
+                                          config_.known_offset,
+                                          [this](const std::vector<Converter>& list, bool is_snapshot) {
+                                            converters_.update_list(list, is_snapshot);
+                                          });
   bus_->start();
 }
 
@@ -87,11 +92,11 @@
   config_.tenants = fresh.tenants;
   config_.connect_timeout_ms = fresh.connect_timeout_ms;
   program_.net().set_most_unsent(config_.most_unsent);
-  callers_.set_bounds();
+  callers_.update_limits();
   if (!fresh.bus) return;
   config_.bus = fresh.bus;
   if (bus_) {
-    bus_->move(*fresh.bus);
+    bus_->set_address(*fresh.bus);
   } else {
     start_bus();
   }
--- a/src/platform/platform_service.hpp
+++ b/src/platform/platform_service.hpp
@@ -3,9 +3,9 @@
 
 #include <memory>
 
-#include "platform/bus.hpp"
-#include "platform/callers.hpp"
-#include "platform/converters.hpp"
+#include "platform/caller_frontend.hpp"
+#include "platform/converter_backend.hpp"
+#include "platform/event_bus_client.hpp"
 #include "program.hpp"
 
 namespace heathturn {
@@ -18,7 +18,7 @@
   [[nodiscard]] const char* kind() const override { return "platform"; }
   void start() override;
   void reload(std::function<void(const std::string&)> done) override;
-  void refuse_new_requests() override { callers_.close_door(); }
+  void refuse_new_requests() override { callers_.refuse_new_requests(); }
   [[nodiscard]] Router& router() override { return router_; }
   [[nodiscard]] std::vector<ConverterView> converters() const override { return converters_.view(); }
   [[nodiscard]] double max_request_ms() const override { return config_.longest_give_up_ms; }
@@ -32,9 +32,9 @@
   Config config_;
   std::string path_, site_;
   Router router_;
-  Converters converters_;
-  Callers callers_;
-  std::unique_ptr<EventBus> bus_;
+  ConverterBackend converters_;
+  CallerFrontend callers_;
+  std::unique_ptr<EventBusClient> bus_;
 };
 
 }  // namespace heathturn
--- a/tests/router/codec_test.cpp
+++ b/tests/router/codec_test.cpp
@@ -24,10 +24,10 @@
       R"({"op":"offer","call":"9b1f03aa5c7e2d41","with":{"class":"voice","left":1500},"desc":"a\r\n\u00e9\"b"})");
   CHECK(message.op == Op::offer);
   CHECK(message.number("left", 0) == 1500);
-  CHECK(*message.text == "a\r\n\xc3\xa9\"b");
-  const auto again = parse_message(print_message(message));
+  CHECK(*message.description == "a\r\n\xc3\xa9\"b");
+  const auto again = parse_message(serialize_message(message));
   CHECK(again.fields == message.fields);
-  CHECK(again.text == message.text);
+  CHECK(again.description == message.description);
 }
 
 TEST_CASE("an unreadable line is named by its reason") {
@@ -42,7 +42,7 @@
 
 TEST_CASE("a load report is read by either set of names") {
   const std::vector<std::string> columns = {"spare", "total", "cut_by", "recent_ms"};
-  const auto load = parse_load("x0:12;x1:40;eps:0.5;junk;recent_ms:-1;new:3", columns);
+  const auto load = parse_load_report("x0:12;x1:40;eps:0.5;junk;recent_ms:-1;new:3", columns);
   CHECK(load.free_circuits == 12);
   CHECK(load.total_circuits == 40);
   CHECK(load.requested_shed_share == 0.5);
--- a/tests/router/platform_test.cpp
+++ b/tests/router/platform_test.cpp
@@ -66,26 +66,26 @@
   static Message offer(const std::string& call, int left = 3000, int to = 1) {
     Message out;
     out.op = Op::offer;
-    out.call = call;
+    out.call_id = call;
     out.fields = {{"class", "voice"},
                   {"left", std::to_string(left)},
                   {"key", "7f3a9c21e0b4d655"},
                   {"extras", "dest:" + std::to_string(to) + ";width:1;via:-1"}};
-    out.text = "d\r\nof " + call;
+    out.description = "d\r\nof " + call;
     return out;
   }
   static Message word(Op op, const std::string& call, int why = -1) {
     Message out;
     out.op = op;
-    out.call = call;
-    if (why >= 0) out.why = why;
-    if (op == Op::accept) out.text = "answer\r\nto " + call;
+    out.call_id = call;
+    if (why >= 0) out.code = why;
+    if (op == Op::accept) out.description = "answer\r\nto " + call;
     return out;
   }
   /// A call that stands, from `caller` to converter 1.
   void stand(Socket& caller, const std::string& call) {
     caller.say(offer(call));
-    CHECK(lines[0].message().call == call);
+    CHECK(lines[0].message().call_id == call);
     lines[0].say(word(Op::accept, call));
     CHECK(caller.message().op == Op::accept);
   }
@@ -95,27 +95,27 @@
   Platform p;
   auto caller = Socket::connect(p.callers);
   const auto offer = Platform::offer(call_a);
-  const auto bytes = print_message(offer);
+  const auto bytes = serialize_message(offer);
   caller.write(bytes.substr(0, 20));  // a line may come in parts
   CHECK(p.lines[0].quiet(50));
   caller.write(bytes.substr(20));
   const auto sent = p.lines[0].message();
   CHECK(sent.op == Op::offer);
-  CHECK(sent.call == call_a);
+  CHECK(sent.call_id == call_a);
   CHECK(*sent.field("class") == "voice");
   CHECK(*sent.field("key") == *offer.field("key"));
   CHECK(sent.number("left", 0) > 300);
   CHECK(sent.number("left", 0) < 3000);
-  CHECK(sent.text == offer.text);
+  CHECK(sent.description == offer.description);
   p.lines[0].say(Platform::word(Op::ringing, call_a));
   p.lines[0].say(Platform::word(Op::accept, call_a));
   const auto answer = caller.message();
   CHECK(answer.op == Op::accept);
-  CHECK(answer.text == "answer\r\nto " + call_a);
+  CHECK(answer.description == "answer\r\nto " + call_a);
   p.lines[0].say(Platform::word(Op::end, call_a, 16));
   const auto end = caller.message();
   CHECK(end.op == Op::end);
-  CHECK(end.why == 16);
+  CHECK(end.code == 16);
   CHECK(caller.quiet(100));
 }
 
@@ -123,12 +123,12 @@
   Platform p;
   auto caller = Socket::connect(p.callers);
   caller.say(Platform::offer(call_a, 800));
-  CHECK(p.lines[0].message().call == call_a);
+  CHECK(p.lines[0].message().call_id == call_a);
   auto no = Platform::word(Op::end, call_a, 34);
   no.fields = {{"note", "cpu_full"}, {"waited", "5000"}};
   p.lines[0].say(no);
   const auto end = caller.message();
-  CHECK(end.why == cause::congestion);
+  CHECK(end.code == cause::congestion);
   CHECK(end.number("wait", 0) == 2000);
   CHECK(p.lines[0].quiet(20));
 }
@@ -139,7 +139,7 @@
       {"{nonsense}\n", "malformed"},
       {"{\"op\":\"dance\",\"call\":\"" + call_a + "\"}\n", "unknown_op"},
       {std::string(17000, 'x'), "over_long"},
-      {print_message(Platform::word(Op::accept, call_a)), "unknown_op"},
+      {serialize_message(Platform::word(Op::accept, call_a)), "unknown_op"},
   };
   for (const auto& [text, why] : cases) {
     auto caller = Socket::connect(p.callers);
@@ -179,8 +179,8 @@
     offer.fields.emplace_back(name, value);
     caller.say(offer);
     const auto reply = caller.message();
-    CHECK(reply.call == offer.call);
-    CHECK(reply.why == cause::error);
+    CHECK(reply.call_id == offer.call_id);
+    CHECK(reply.code == cause::error);
   }
   CHECK(p.lines[0].quiet(20));
   p.stand(caller, call_a);
@@ -196,11 +196,11 @@
   Platform p;
   auto caller = Socket::connect(p.callers), thief = Socket::connect(p.callers);
   caller.say(Platform::offer(call_a));
-  CHECK(p.lines[0].message().call == call_a);
+  CHECK(p.lines[0].message().call_id == call_a);
   auto other = Platform::offer(call_a);
-  other.text = "another description";
+  other.description = "another description";
   thief.say(other);
-  CHECK(thief.message().why == cause::error);
+  CHECK(thief.message().code == cause::error);
   thief.say(Platform::word(Op::end, call_a, 16));
   CHECK(parse_message(thief.line()).op == Op::ended);
   p.lines[0].say(Platform::word(Op::accept, call_a));
@@ -217,8 +217,8 @@
   auto caller = Socket::connect(p.callers);
   for (int i = 0; i < 129; ++i) caller.say(Platform::offer("000000000000" + std::to_string(1000 + i)));
   const auto refusal = caller.message();
-  CHECK(refusal.call == "0000000000001128");
-  CHECK(refusal.why == cause::congestion);
+  CHECK(refusal.call_id == "0000000000001128");
+  CHECK(refusal.code == cause::congestion);
   CHECK(refusal.number("wait", 0) == 1000);
 }
 
@@ -226,7 +226,7 @@
   Platform p(true, 1024, 16);  // 8 of them for callers
   auto busy = Socket::connect(p.callers);
   busy.say(Platform::offer(call_a, 3000, 2));
-  CHECK(p.lines[1].message().call == call_a);
+  CHECK(p.lines[1].message().call_id == call_a);
   auto usual = Socket::connect(p.callers);
   p.stand(usual, call_b);
   std::vector<Socket> crowd;
@@ -236,7 +236,7 @@
   p.lines[1].say(Platform::word(Op::accept, call_a));
   CHECK(busy.message().op == Op::accept);
   p.lines[0].say(Platform::word(Op::end, call_b, 16));
-  CHECK(usual.message().call == call_b);  // who has been served goes after who said nothing
+  CHECK(usual.message().call_id == call_b);  // who has been served goes after who said nothing
   // And who never says anything is let go of, full or not.
   const double from = now_ms();
   CHECK(crowd.back().closed());
@@ -249,11 +249,11 @@
   p.stand(good, call_b);
   p.stand(deaf, call_a);
   p.lines[0].say(Platform::word(Op::end, call_b, 16));
-  CHECK(good.message().call == call_b);
+  CHECK(good.message().call_id == call_b);
   good.say(Platform::word(Op::ended, call_b));
   p.lines[0].say(Platform::word(Op::end, call_a, 16));
-  CHECK(deaf.message().call == call_a);
-  CHECK(good.message().call == call_a);
+  CHECK(deaf.message().call_id == call_a);
+  CHECK(good.message().call_id == call_a);
   good.say(Platform::word(Op::ended, call_a));
   CHECK(deaf.quiet(400));
 }
@@ -263,12 +263,12 @@
   {
     auto gone = Socket::connect(p.callers);
     gone.say(Platform::offer(call_a));
-    CHECK(p.lines[0].message().call == call_a);
+    CHECK(p.lines[0].message().call_id == call_a);
     gone.reset();
   }
   const auto cancel = p.lines[0].message();  // nobody waits for it any more
   CHECK(cancel.op == Op::end);
-  CHECK(cancel.call == call_a);
+  CHECK(cancel.call_id == call_a);
   p.lines[0].say(Platform::word(Op::accept, call_a));  // crossed it
   CHECK(p.lines[0].message().op == Op::end);
   auto caller = Socket::connect(p.callers);
@@ -280,8 +280,8 @@
   auto slow = Socket::connect(p.callers);
   Message test;
   test.op = Op::test;
-  test.call = std::string(12000, 't');
-  const auto line = print_message(test);
+  test.call_id = std::string(12000, 't');
+  const auto line = serialize_message(test);
   ::fcntl(slow.descriptor(), F_SETFL, O_NONBLOCK);
   // Its answers pile up at the program, which must end this connection: else the loop would not end in time.
   const double until = now_ms() + patience_ms;
@@ -318,7 +318,7 @@
   while (caller.quiet(0)) {
     if (!readable(p.lines[0].descriptor(), 5)) continue;
     const auto said = p.lines[0].message();
-    CHECK(said.call == call_a);
+    CHECK(said.call_id == call_a);
     if (said.op == Op::offer) {
       ++attempts;
       CHECK_FALSE(out);
@@ -339,7 +339,7 @@
   p.converters[0].close();
   auto caller = Socket::connect(p.callers);
   caller.say(Platform::offer(call_a, 1000));
-  CHECK(caller.message().why == cause::congestion);
+  CHECK(caller.message().code == cause::congestion);
 }
 
 TEST_CASE("a call that stands outlives its connections on both sides") {
@@ -358,8 +358,8 @@
   CHECK(test.quiet(200));
   auto other = Socket::connect(p.callers);
   const auto end = other.message();
-  CHECK(end.call == call_a);
-  CHECK(end.why == 16);
+  CHECK(end.call_id == call_a);
+  CHECK(end.code == 16);
 }
 
 TEST_CASE("a connection that has gone silent is tested and replaced; the calls on it still stand") {
@@ -371,19 +371,19 @@
   }
   auto& carries = p.lines[0].quiet(0) ? other : p.lines[0];
   auto& idle = p.lines[0].quiet(0) ? p.lines[0] : other;
-  CHECK(carries.message().call == call_a);
+  CHECK(carries.message().call_id == call_a);
   carries.say(Platform::word(Op::accept, call_a));
   CHECK(caller.message().op == Op::accept);
   // Both are tested in time, and only one answers.
   auto test = parse_message(idle.line());
   CHECK(test.op == Op::test);
   test.op = Op::tested;
-  test.why = 1;
+  test.code = 1;
   idle.say(test);
   CHECK(p.program->log("side=converter").find("reason=silent") != std::string::npos);
   CHECK(carries.closed());
   idle.say(Platform::word(Op::end, call_a, 16));
-  CHECK(caller.message().why == 16);
+  CHECK(caller.message().code == 16);
 }
 
 TEST_CASE("a connection that lacks the group's state the other one brings is replaced within a second") {
@@ -399,7 +399,7 @@
   while (p.lines[0].quiet(50) || !p.lines[0].line().empty());
   CHECK(now_ms() - from < 1500);
   caller.say(Platform::offer(call_b));
-  CHECK(other.message().call == call_b);
+  CHECK(other.message().call_id == call_b);
 }
 
 TEST_CASE("the other connection's older word on the group does not replace the newer one") {
@@ -408,9 +408,9 @@
   p.stand(caller, call_a);  // by then the state told on the first connection is in force
   auto other = Platform::held(p.converters[0], 0);
   other.say(Platform::word(Op::end, call_b, 16));  // behind it on the same connection
-  CHECK(caller.message().call == call_b);
+  CHECK(caller.message().call_id == call_b);
   caller.say(Platform::offer("00000000000000e5"));
-  CHECK(p.lines[0].message().call == "00000000000000e5");
+  CHECK(p.lines[0].message().call_id == "00000000000000e5");
 }
 
 TEST_CASE("a converter that is gone for good leaves no call standing") {
@@ -421,7 +421,7 @@
   p.converters[0].close();
   p.lines[0].reset();
   const auto end = caller.message();
-  CHECK(end.why == cause::temporary_failure);
+  CHECK(end.code == cause::temporary_failure);
   CHECK(now_ms() - from < 8000);
 }
 
@@ -434,9 +434,9 @@
   auto test = parse_message(p.lines[0].line());
   REQUIRE(test.op == Op::test);
   test.op = Op::tested;
-  test.why = 0;
+  test.code = 0;
   p.lines[0].say(test);
-  CHECK(caller.message().why == cause::temporary_failure);
+  CHECK(caller.message().code == cause::temporary_failure);
   CHECK(now_ms() - from < 7000);
 }
 
@@ -453,7 +453,7 @@
   if (next.quiet(0)) next = Platform::held(p.converters[0]);
   const auto end = next.message();
   CHECK(end.op == Op::end);
-  CHECK(end.call == call_a);
+  CHECK(end.call_id == call_a);
 }
 
 TEST_CASE("a restart passes on what ends the calls that stood before it, and only that") {
@@ -462,13 +462,13 @@
   p.lines[0].say(Platform::word(Op::end, call_b, 34));  // a late refusal: its caller was answered long ago
   p.lines[0].say(Platform::word(Op::end, call_a, 16));
   const auto end = caller.message();
-  CHECK(end.call == call_a);
-  CHECK(end.why == 16);
+  CHECK(end.call_id == call_a);
+  CHECK(end.code == 16);
   p.lines[0].say(Platform::word(Op::end, call_a, 16));
   CHECK(caller.quiet(100));  // told once
   // A caller's own release of a call unknown here is taken to where it may stand.
   caller.say(Platform::word(Op::end, "00000000000000c3", 16));
-  CHECK(p.lines[0].message().call == "00000000000000c3");
+  CHECK(p.lines[0].message().call_id == "00000000000000c3");
 }
 
 TEST_CASE("a flood of releases for calls that nobody has does not reach the converters") {
@@ -476,7 +476,7 @@
   auto caller = Socket::connect(p.callers), flood = Socket::connect(p.callers);
   std::string ends;
   for (int i = 0; i < 2000; ++i) {
-    ends += print_message(Platform::word(Op::end, "000000000000" + std::to_string(1000 + i), 16));
+    ends += serialize_message(Platform::word(Op::end, "000000000000" + std::to_string(1000 + i), 16));
   }
   flood.write(ends);
   for (int i = 0; i < 2000; ++i) CHECK(parse_message(flood.line()).op == Op::ended);
@@ -550,14 +550,14 @@
   auto caller = Socket::connect(p.callers);
   p.stand(caller, call_a);
   feed.write(frame(4, 2, 1, 2, p.converters[0].address()));
-  CHECK(caller.message().why == cause::temporary_failure);
+  CHECK(caller.message().code == cause::temporary_failure);
   CHECK(p.lines[0].closed());
   auto second = p.converters[0].accept();  // the other connection that was held to the old one
   CHECK(second.closed());
   feed.write(frame(5, 2, 9, 0, p.converters[0].address()));
   auto line = Platform::held(p.converters[0]);
   caller.say(Platform::offer(call_b, 3000, 9));
-  CHECK(line.message().call == call_b);
+  CHECK(line.message().call_id == call_b);
 }
 
 // ---- New configurations ---------------------------------------------------------------------------------
@@ -570,7 +570,7 @@
   auto caller = Socket::connect(p.callers);
   p.stand(caller, call_a);
   caller.say(Platform::offer(call_b));
-  CHECK(p.lines[0].message().call == call_b);
+  CHECK(p.lines[0].message().call_id == call_b);
   p.bus = Socket::bound(SOCK_STREAM);
   p.config->write(p.text());
   p.program->signal(SIGHUP);
@@ -578,7 +578,7 @@
   CHECK(big_endian(feed.take(8), 0, 8) == 4);
   CHECK(old_feed.closed());
   p.lines[0].say(Platform::word(Op::accept, call_b));
-  CHECK(caller.message().call == call_b);
+  CHECK(caller.message().call_id == call_b);
   // What cannot be read changes nothing, and the log names the key at fault.
   p.config->write(R"({"listen":"127.0.0.1:0","bus":"nowhere"})");
   p.program->signal(SIGHUP);
@@ -590,7 +590,7 @@
   caller.say(Platform::offer("00000000000000c3", 3000, 9));
   CHECK(Platform::held(p.converters[1]).quiet(0));  // the one to number 2
   p.lines[0].say(Platform::word(Op::end, call_a, 16));
-  CHECK(caller.message().call == call_a);
+  CHECK(caller.message().call_id == call_a);
 }
 
 // ---- The end --------------------------------------------------------------------------------------------
@@ -603,10 +603,10 @@
   p.program->log("draining");
   auto late = Socket::connect(p.callers);
   late.say(Platform::offer(call_b));
-  CHECK(p.lines[0].message().call == call_b);
+  CHECK(p.lines[0].message().call_id == call_b);
   std::this_thread::sleep_for(std::chrono::milliseconds(900));  // the door has closed; the call is still open
   late.say(Platform::offer("00000000000000d4"));
-  CHECK(late.message().why == cause::congestion);
+  CHECK(late.message().code == cause::congestion);
   p.lines[0].say(Platform::word(Op::accept, call_b));
   CHECK(late.message().op == Op::accept);
   CHECK(p.program->wait() == 0);
--- a/tests/router/stand_in.hpp
+++ b/tests/router/stand_in.hpp
@@ -122,10 +122,10 @@
       if (out.op != Op::ended && out.op != Op::ringing && out.op != Op::test) return out;
     }
   }
-  void say(const Message& message) const { write(print_message(message)); }
+  void say(const Message& message) const { write(serialize_message(message)); }
   /// The same to a peer that may have closed.
   void try_say(const Message& message) const {
-    const auto bytes = print_message(message);
+    const auto bytes = serialize_message(message);
     (void)!::send(descriptor_, bytes.data(), bytes.size(), MSG_NOSIGNAL);
   }
   /// True when nothing more comes but the end.
--- a/tests/router/tls_test.cpp
+++ b/tests/router/tls_test.cpp
@@ -304,18 +304,18 @@
   Message state;
   state.op = Op::group;
   state.fields = {{"load", "x0:10;x1:10"}};
-  out.greeting = print_message(state);
+  out.greeting = serialize_message(state);
   out.speak = [](std::string& input) {
     std::string said;
     for (auto end = input.find('\n'); end != std::string::npos; end = input.find('\n')) {
       const auto message = parse_message(input.substr(0, end));
       input.erase(0, end + 1);
       Message answer;
-      answer.call = message.call;
+      answer.call_id = message.call_id;
       answer.op = message.op == Op::test ? Op::tested : Op::accept;
-      if (message.op == Op::test) answer.why = 1;
-      if (message.op == Op::offer) answer.text = "d\r\nvia TLS";
-      if (message.op == Op::test || message.op == Op::offer) said += print_message(answer);
+      if (message.op == Op::test) answer.code = 1;
+      if (message.op == Op::offer) answer.description = "d\r\nvia TLS";
+      if (message.op == Op::test || message.op == Op::offer) said += serialize_message(answer);
     }
     return said;
   };
@@ -349,14 +349,14 @@
   auto caller = Socket::connect(callers);
   Message offer;
   offer.op = Op::offer;
-  offer.call = "9b1f03aa5c7e2d41";
+  offer.call_id = "9b1f03aa5c7e2d41";
   offer.fields = {
       {"class", "voice"}, {"left", "3000"}, {"key", "7f3a9c21e0b4d655"}, {"extras", "dest:1;width:1;via:-1"}};
-  offer.text = "d\r\nof a call";
+  offer.description = "d\r\nof a call";
   caller.say(offer);
   const auto answer = caller.message();
   CHECK(answer.op == Op::accept);
-  CHECK(answer.text == "d\r\nvia TLS");
+  CHECK(answer.description == "d\r\nvia TLS");
   program.signal(SIGHUP);
   program.log("event=configuration_taken front=platform");
   site.write("converters { tls { trust: \"/none.pem\" } }\n");
