--- a/include/maddershed/call_controller.hpp
+++ b/include/maddershed/call_controller.hpp
@@ -45,7 +45,7 @@
 enum class Idempotency {
   idempotent,      ///< a repeated set-up does no harm
   not_idempotent,  ///< a repeated set-up has a second effect
-  keyed            ///< the receiver recognizes a repeated set-up by a key
+  keyed            ///< the receiver recognises a repeated set-up by a key
 };
 
 /// Settings of one class of calls.
