--- a/src/decide.cpp
+++ b/src/decide.cpp
@@ -188,8 +188,8 @@
   Duration resend_after{0};
 };
 
-/// Converts a load report, whichever figures it has, into a sample of rho. `rate` is the usual rate of calls
-/// per second. No other place interprets the figures of a report as load.
+/// Converts a load report, whichever figures it has, into a sample of rho. `rate` is the number of
+/// own calls offered per second, to all exchanges. No other place interprets the figures of a report as load.
 std::optional<double> rho_from_report(const LoadReport& report, double f, double target_delay_seconds,
                                       double rate) {
   std::optional<double> rho;
--- a/tests/fixture.hpp
+++ b/tests/fixture.hpp
@@ -1,4 +1,4 @@
-// A controller fed by hand, for tests of the module.
+// Test driver for the decision module: feeds events to a controller and delivers its timers.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -12,30 +12,34 @@
 
 using namespace std::chrono_literals;
 
+/// Four exchanges in a mesh, with a plain class of calls and one of twice its worth.
 inline Settings mesh_settings() {
-  Settings s;
-  s.classes.resize(2);
-  s.classes[0] = {
+  Settings settings;
+  settings.classes.resize(2);
+  settings.classes[0] = {
       .name = "plain", .worth = 1, .late_worth_share = 0.1, .set_up_objective = 1500ms, .give_up_after = 9s};
-  s.classes[1] = {
-      .name = "dear", .worth = 2, .late_worth_share = 0.1, .set_up_objective = 1500ms, .give_up_after = 9s};
-  s.home_exchange = 0;
-  s.controller_count = 4;
-  s.release_wait = 500ms;
-  s.resend_after = 400ms;
-  s.batch_interval = 5ms;
-  s.start_capacity = 0.35;
-  s.cold_time = 13s;
-  s.overload_multiple = 2;
-  s.overload_duration = 1s;
-  s.attempt_limit = 5;
-  s.max_retry_after = 2s;
-  s.sends_retry_after = true;
-  s.cancelling = true;
-  return s;
+  settings.classes[1] = {.name = "premium",
+                         .worth = 2,
+                         .late_worth_share = 0.1,
+                         .set_up_objective = 1500ms,
+                         .give_up_after = 9s};
+  settings.home_exchange = 0;
+  settings.controller_count = 4;
+  settings.release_wait = 500ms;
+  settings.resend_after = 400ms;
+  settings.batch_interval = 5ms;
+  settings.start_capacity = 0.35;
+  settings.cold_time = 13s;
+  settings.overload_multiple = 2;
+  settings.overload_duration = 1s;
+  settings.attempt_limit = 5;
+  settings.max_retry_after = 2s;
+  settings.sends_retry_after = true;
+  settings.cancelling = true;
+  return settings;
 }
 
-/// Exchanges 0 (home) to 3 with ids 100 to 103.
+/// A directory of exchanges numbered from 0 (home), with ids from 100.
 inline DirectoryUpdate directory(int exchanges = 4) {
   DirectoryUpdate update;
   update.kind = DirectoryUpdate::Kind::cached;
@@ -45,13 +49,14 @@
   return update;
 }
 
+/// A controller in service, with 20 of 20 circuits free to each of the exchanges 101 to 103.
 class Driver {
  public:
   explicit Driver(Settings settings = mesh_settings(), std::uint64_t seed = 7)
       : controller_(std::move(settings), seed) {
     feed(Started{});
     feed(directory());
-    for (std::uint32_t id = 101; id <= 103; ++id) circuits(id, 20);
+    for (std::uint32_t id = 101; id <= 103; ++id) report_circuits(id, 20);
   }
   std::vector<Action> feed(const Event& event) {
     std::vector<Action> actions;
@@ -61,7 +66,7 @@
     }
     return actions;
   }
-  /// Moves the clock on and delivers each timer that came due, in order.
+  /// Advances the clock and delivers each timer that expires, in order. Returns all resulting actions.
   std::vector<Action> advance(Duration by) {
     std::vector<Action> all;
     const Time end = now + by;
@@ -80,7 +85,7 @@
     now = end;
     return all;
   }
-  void circuits(std::uint32_t id, double free, double total = 20) {
+  void report_circuits(std::uint32_t id, double free, double total = 20) {
     ExchangeReport report;
     report.exchange = ExchangeId{id};
     report.report.free_circuits = free;
@@ -97,9 +102,9 @@
     call.called_number = called_number;
     return feed(call);
   }
-  std::vector<Action> end(std::uint64_t id, std::uint32_t exchange, AttemptResult result,
-                          FailureCause cause = FailureCause::none, LoadReport report = {},
-                          std::uint32_t attempt = 0) {
+  std::vector<Action> end_attempt(std::uint64_t id, std::uint32_t exchange, AttemptResult result,
+                                  FailureCause cause = FailureCause::none, LoadReport report = {},
+                                  std::uint32_t attempt = 0) {
     AttemptEnded ended;
     ended.call = CallId{id};
     ended.attempt = attempt;
@@ -109,12 +114,12 @@
     ended.report = report;
     return feed(ended);
   }
-  std::vector<Action> stands(std::uint64_t id, std::uint32_t exchange, Duration elapsed = 50ms) {
+  std::vector<Action> establish(std::uint64_t id, std::uint32_t exchange, Duration elapsed = 50ms) {
     return feed(CallStands{CallId{id}, 0, ExchangeId{exchange}, elapsed});
   }
-  /// The call stands and ends at once; the far processor's figures come with its end.
-  void whole_call(std::uint64_t id, std::uint32_t exchange, const LoadReport& report) {
-    stands(id, exchange);
+  /// Establishes the call and ends it at once; the load report comes with its end.
+  void complete_call(std::uint64_t id, std::uint32_t exchange, const LoadReport& report) {
+    establish(id, exchange);
     AttemptEnded ended;
     ended.call = CallId{id};
     ended.exchange = ExchangeId{exchange};
@@ -123,16 +128,16 @@
     ended.report.free_circuits = 20;
     feed(ended);
   }
-  /// Completes every set-up among the actions, and what their ends let go; returns how many there were.
-  int complete(const std::vector<Action>& actions, const LoadReport& report) {
-    int done = 0;
+  /// Completes the call of every set-up among the actions, each with this report. Returns their number.
+  int complete_set_ups(const std::vector<Action>& actions, const LoadReport& report) {
+    int completed = 0;
     for (const auto& action : actions) {
       const auto* set_up = std::get_if<SendSetUp>(&action);
       if (set_up == nullptr) continue;
-      ++done;
-      whole_call(set_up->call.value, set_up->exchange.value, report);
+      ++completed;
+      complete_call(set_up->call.value, set_up->exchange.value, report);
     }
-    return done;
+    return completed;
   }
 
   Time now{10s};
@@ -142,8 +147,9 @@
   std::vector<std::pair<Time, std::uint64_t>> timers_;
 };
 
+/// The actions of one type, in order.
 template <typename T>
-std::vector<T> only(const std::vector<Action>& actions) {
+std::vector<T> actions_of(const std::vector<Action>& actions) {
   std::vector<T> found;
   for (const auto& action : actions) {
     if (const auto* match = std::get_if<T>(&action)) found.push_back(*match);
