--- a/src/core/clock.hpp
+++ b/src/core/clock.hpp
@@ -36,6 +36,7 @@
   double last_steady_ms_ = 0;  ///< steady clock at the last reading; 0: not read yet
 };
 
+// Conversions between milliseconds and the module's types. Fractions of a microsecond are truncated.
 inline maddershed::Time to_time(double ms) {
   return maddershed::Time{maddershed::Duration{static_cast<std::int64_t>(ms * 1000)}};
 }
--- a/src/core/router.cpp
+++ b/src/core/router.cpp
@@ -70,7 +70,8 @@
   ++counts_.offered;
   event.call.value = handle;
   on_accepted(handle);
-  // Whatever the module decides, the caller gets its answer before it gives up.
+  // Whatever the module decides, the caller gets its answer before it gives up. The timer runs 1 ms after the
+  // module's own deadline, so that the module can answer first.
   requests_.find(handle)->answer_timer = timers_.schedule(now_ms + time_left_ms + 1, [this, handle] {
     if (auto* late = requests_.find(handle); late != nullptr) {
       late->answer_timer = {};
@@ -221,6 +222,7 @@
 }
 
 void Router::perform(const SetTimer& action) {
+  // One microsecond late, so that truncation to the module's microseconds never makes the event early.
   timers_.schedule(to_ms(action.due) + 0.001,
                    [this, token = action.token] { process_event(TimerDue{token}); });
 }
--- a/src/core/router.hpp
+++ b/src/core/router.hpp
@@ -179,7 +179,7 @@
   double release_wait_ms_;
   SlotTable<RequestState> requests_;
   SlotTable<Attempt> attempts_;
-  std::map<ExchangeId, maddershed::DirectoryEntry> exchanges_;  ///< those in service
+  std::map<ExchangeId, maddershed::DirectoryEntry> exchanges_;  ///< ready or draining
   std::map<ExchangeId, std::size_t> established_at_;            ///< number of established calls
   std::deque<maddershed::Event> events_;                        ///< not yet processed
   bool processing_ = false;
--- a/src/service.hpp
+++ b/src/service.hpp
@@ -26,7 +26,7 @@
   virtual void start() = 0;
   /// Reads the configuration file again and applies all of it, or nothing when it has an error. `done` gets
   /// the error message, empty on success, either before this returns or later.
-  virtual void reload(std::function<void(const std::string& fault)> done) = 0;
+  virtual void reload(std::function<void(const std::string& error)> done) = 0;
   /// Background work is in progress that the end of the process must not wait for.
   [[nodiscard]] virtual bool has_background_work() const { return false; }
   /// New requests are refused from now on.
--- a/tests/router/core_test.cpp
+++ b/tests/router/core_test.cpp
@@ -1,5 +1,5 @@
-// The rules that the core keeps whatever is decided: a scripted decider, a carrier that notes what it is
-// told.
+// Tests of the rules that the router enforces whatever the module decides, with a scripted decision function
+// and a backend that records the calls made to it.
 #include <catch2/catch.hpp>
 #include <map>
 
@@ -10,157 +10,163 @@
 
 using namespace maddershed;
 
-struct World : Frontend, Backend {
+/// A router with its frontend, backend and decision function.
+struct RouterFixture : Frontend, Backend {
   Clock clock;
   TimerQueue timers;
   std::vector<Event> events;
-  std::vector<Action> next;  ///< what the decider answers to the next event
+  std::vector<Action> next_actions;  ///< what the decision function returns for the next event
   Router router{clock, timers, 350, [this](Time, const Event& event, std::vector<Action>& actions) {
                   events.push_back(event);
-                  actions.swap(next);
+                  actions.swap(next_actions);
                 }};
-  std::vector<std::string> said;
+  std::vector<std::string> notifications;  ///< calls to the frontend; abandoned and released attempts
   std::vector<Handle> sent;
-  std::vector<double> sent_at;
+  std::vector<double> sent_at_ms;
   Handle request = no_handle;
-  double now = 1e12;
+  double now_ms = 1e12;
 
-  World() {
-    clock.set(now);
+  RouterFixture() {
+    clock.set(now_ms);
     router.set_backend(*this);
-    DirectoryUpdate list{DirectoryUpdate::Kind::snapshot,
-                         {{.exchange = {1}, .number = 1}, {.exchange = {2}, .number = 2}}};
-    router.directory_updated(list);
+    DirectoryUpdate update{DirectoryUpdate::Kind::snapshot,
+                           {{.exchange = {1}, .number = 1}, {.exchange = {2}, .number = 2}}};
+    router.directory_updated(update);
   }
-  void pass(double ms) {
-    for (double end = now + ms; now < end;) {
-      now = std::min(end, std::max(now, timers.next_due_ms().value_or(end)));
-      clock.set(now);
-      timers.run_due(now);
+  /// Advances the clock and runs each timer at its due time.
+  void advance(double ms) {
+    for (double end_ms = now_ms + ms; now_ms < end_ms;) {
+      now_ms = std::min(end_ms, std::max(now_ms, timers.next_due_ms().value_or(end_ms)));
+      clock.set(now_ms);
+      timers.run_due(now_ms);
     }
   }
-  Time at(double ms) const { return to_time(now + ms); }
-  void offer(double left, std::function<Action(Handle)> action) {
-    Request asked;
-    asked.time_left_ms = left;
-    router.offer(*this, asked, [&](Handle handle) {
+  Time from_now(double ms) const { return to_time(now_ms + ms); }
+  /// Offers a request; `action` is the decision on it.
+  void offer(double time_left_ms, std::function<Action(Handle)> action) {
+    Request offered;
+    offered.time_left_ms = time_left_ms;
+    router.offer(*this, offered, [&](Handle handle) {
       request = handle;
-      next = {action(handle)};
+      next_actions = {action(handle)};
     });
   }
-  /// The decider's next word, at an event that means nothing.
+  /// Makes the router perform the action, as the decision on an unrelated event.
   void decide(Action action) {
-    next = {std::move(action)};
+    next_actions = {std::move(action)};
     router.exchange_reported(ExchangeId{1}, {});
   }
-  void on_request_served(Handle, const std::string& answer) override { said.push_back("served " + answer); }
-  void on_request_refused(Handle, double wait) override {
-    said.push_back("refused " + std::to_string(static_cast<int>(wait)));
+  void on_request_served(Handle, const std::string& answer) override {
+    notifications.push_back("served " + answer);
   }
-  void on_request_failed(Handle) override { said.push_back("failed"); }
+  void on_request_refused(Handle, double wait_ms) override {
+    notifications.push_back("refused " + std::to_string(static_cast<int>(wait_ms)));
+  }
+  void on_request_failed(Handle) override { notifications.push_back("failed"); }
   void on_call_ended(Handle, CallEnd end) override {
-    said.push_back(end == CallEnd::normal ? "over" : "cut");
+    notifications.push_back(end == CallEnd::normal ? "ended" : "cut off");
   }
   void send_attempt(Handle attempt, ExchangeId, const Request&, double) override {
     sent.push_back(attempt);
-    sent_at.push_back(now);
+    sent_at_ms.push_back(now_ms);
   }
-  void abandon_attempt(Handle) override { said.push_back("given up"); }
-  void release_call(Handle) override { said.push_back("released"); }
+  void abandon_attempt(Handle) override { notifications.push_back("abandoned"); }
+  void release_call(Handle) override { notifications.push_back("released"); }
   void probe(ExchangeId) override {}
 };
 
-using Said = std::vector<std::string>;
+using Notifications = std::vector<std::string>;
 
-TEST_CASE("a decider that says nothing still leaves the caller one answer in time") {
-  World w;
-  w.offer(1000, [&w](Handle id) { return SendSetUp{CallId{id}, ExchangeId{1}, w.at(5000)}; });
-  w.pass(960);
-  CHECK(w.said.empty());
-  w.pass(39);
-  CHECK(w.said == Said{"given up", "failed"});
-  CHECK(w.router.pending_count() == 0);
-  w.router.attempt_succeeded(w.sent[0], "late");
-  w.decide(Refuse{CallId{w.request}});
-  CHECK(w.said.size() == 2);
+TEST_CASE("the caller gets one answer in time when nothing is decided") {
+  RouterFixture f;
+  f.offer(1000, [&f](Handle id) { return SendSetUp{CallId{id}, ExchangeId{1}, f.from_now(5000)}; });
+  f.advance(960);
+  CHECK(f.notifications.empty());
+  f.advance(39);
+  CHECK(f.notifications == Notifications{"abandoned", "failed"});
+  CHECK(f.router.pending_count() == 0);
+  f.router.attempt_succeeded(f.sent[0], "late");
+  f.decide(Refuse{CallId{f.request}});
+  CHECK(f.notifications.size() == 2);
 }
 
-TEST_CASE("no second attempt goes out beside the first") {
-  World w;
-  w.offer(3000, [&w](Handle id) { return SendSetUp{CallId{id}, ExchangeId{1}, w.at(2000)}; });
-  w.decide(SendSetUp{CallId{w.request}, ExchangeId{2}, w.at(2000)});
-  CHECK(w.sent.size() == 1);
+TEST_CASE("no second attempt is sent while the first is in flight") {
+  RouterFixture f;
+  f.offer(3000, [&f](Handle id) { return SendSetUp{CallId{id}, ExchangeId{1}, f.from_now(2000)}; });
+  f.decide(SendSetUp{CallId{f.request}, ExchangeId{2}, f.from_now(2000)});
+  CHECK(f.sent.size() == 1);
 }
 
-TEST_CASE("a retry after a time-out, a reset or a cancel awaits the release") {
-  World w;
-  w.offer(3000, [&w](Handle id) { return SendSetUp{CallId{id}, ExchangeId{1}, w.at(500)}; });
-  const auto again = [&w] { w.decide(SendSetUp{CallId{w.request}, ExchangeId{2}, w.at(2000)}); };
-  SECTION("time-out") {
-    w.pass(500);
-    CHECK(w.said == Said{"given up"});
-    again();
+TEST_CASE("a retry after a timeout, a reset or a cancellation waits for the release") {
+  RouterFixture f;
+  f.offer(3000, [&f](Handle id) { return SendSetUp{CallId{id}, ExchangeId{1}, f.from_now(500)}; });
+  const auto retry = [&f] { f.decide(SendSetUp{CallId{f.request}, ExchangeId{2}, f.from_now(2000)}); };
+  SECTION("timeout") {
+    f.advance(500);
+    CHECK(f.notifications == Notifications{"abandoned"});
+    retry();
   }
   SECTION("reset") {
-    w.router.attempt_ended(w.sent[0], {.result = AttemptResult::reset});
-    again();
+    f.router.attempt_ended(f.sent[0], {.result = AttemptResult::reset});
+    retry();
   }
-  SECTION("cancel") {
-    w.decide(Cancel{CallId{w.request}, 0});
-    again();
+  SECTION("cancellation") {
+    f.decide(Cancel{CallId{f.request}, 0});
+    retry();
   }
-  const double from = w.now;
-  w.pass(349);
-  CHECK(w.sent.size() == 1);
-  w.pass(2);
-  REQUIRE(w.sent.size() == 2);
-  CHECK(w.sent_at[1] - from >= 350);
+  const double start_ms = f.now_ms;
+  f.advance(349);
+  CHECK(f.sent.size() == 1);
+  f.advance(2);
+  REQUIRE(f.sent.size() == 2);
+  CHECK(f.sent_at_ms[1] - start_ms >= 350);
 }
 
-TEST_CASE("an attempt held for the release does not go to a converter that began to drain meanwhile") {
-  World w;
-  w.offer(3000, [&w](Handle id) { return SendSetUp{CallId{id}, ExchangeId{1}, w.at(2000)}; });
-  w.router.attempt_ended(w.sent[0], {.result = AttemptResult::reset});
-  w.decide(SendSetUp{CallId{w.request}, ExchangeId{2}, w.at(2000)});
-  w.router.directory_updated(
+TEST_CASE("an attempt held for the release is not sent to a converter that began to drain meanwhile") {
+  RouterFixture f;
+  f.offer(3000, [&f](Handle id) { return SendSetUp{CallId{id}, ExchangeId{1}, f.from_now(2000)}; });
+  f.router.attempt_ended(f.sent[0], {.result = AttemptResult::reset});
+  f.decide(SendSetUp{CallId{f.request}, ExchangeId{2}, f.from_now(2000)});
+  f.router.directory_updated(
       {DirectoryUpdate::Kind::changes, {{.exchange = {2}, .number = 2, .state = ExchangeState::draining}}});
-  w.pass(400);
-  CHECK(w.sent.size() == 1);
-  CHECK(std::get<AttemptEnded>(w.events.back()).result == AttemptResult::not_sent);
+  f.advance(400);
+  CHECK(f.sent.size() == 1);
+  CHECK(std::get<AttemptEnded>(f.events.back()).result == AttemptResult::not_sent);
 }
 
-TEST_CASE("a call that stood is released once, and a lost converter cuts what stands there") {
-  World w;
-  w.offer(3000, [&w](Handle id) { return SendSetUp{CallId{id}, ExchangeId{1}, w.at(2000)}; });
-  w.router.attempt_succeeded(w.sent[0], "hello");
-  w.router.attempt_succeeded(w.sent[0], "again");
-  w.pass(5000);
-  CHECK(w.router.established_count() == 1);
-  SECTION("its end") { w.router.attempt_ended(w.sent[0], {.result = AttemptResult::ended}); }
-  SECTION("its converter lost") {
-    w.router.exchange_lost(ExchangeId{2}, w.now);
-    w.router.exchange_lost(ExchangeId{1}, w.sent_at[0]);  // it began anew before it took this call
-    CHECK(w.router.established_count() == 1);
-    w.router.exchange_lost(ExchangeId{1}, w.now);
+TEST_CASE("an established call ends once, and the loss of its converter cuts it off") {
+  RouterFixture f;
+  f.offer(3000, [&f](Handle id) { return SendSetUp{CallId{id}, ExchangeId{1}, f.from_now(2000)}; });
+  f.router.attempt_succeeded(f.sent[0], "hello");
+  f.router.attempt_succeeded(f.sent[0], "again");
+  f.advance(5000);
+  CHECK(f.router.established_count() == 1);
+  SECTION("normal end") { f.router.attempt_ended(f.sent[0], {.result = AttemptResult::ended}); }
+  SECTION("converter lost") {
+    f.router.exchange_lost(ExchangeId{2}, f.now_ms);
+    f.router.exchange_lost(ExchangeId{1}, f.sent_at_ms[0]);  // restarted before it took this call
+    CHECK(f.router.established_count() == 1);
+    f.router.exchange_lost(ExchangeId{1}, f.now_ms);
   }
-  w.router.attempt_ended(w.sent[0], {.result = AttemptResult::reset});
-  w.router.exchange_lost(ExchangeId{1}, w.now);
-  CHECK((w.said == Said{"served hello", "over"} || w.said == Said{"served hello", "released", "cut"}));
-  CHECK(w.router.established_count() == 0);
+  f.router.attempt_ended(f.sent[0], {.result = AttemptResult::reset});
+  f.router.exchange_lost(ExchangeId{1}, f.now_ms);
+  CHECK((f.notifications == Notifications{"served hello", "ended"} ||
+         f.notifications == Notifications{"served hello", "released", "cut off"}));
+  CHECK(f.router.established_count() == 0);
 }
 
-TEST_CASE("a caller who leaves gets no answer, and its attempt ends") {
-  World w;
-  w.offer(3000, [&w](Handle id) { return SendSetUp{CallId{id}, ExchangeId{1}, w.at(2000)}; });
-  w.next = {Cancel{CallId{w.request}, 0}};
-  w.router.caller_left(w.request);
-  CHECK(w.said == Said{"given up"});
-  w.pass(5000);
-  CHECK(w.said.size() == 1);
-  CHECK(w.router.pending_count() + w.router.established_count() == 0);
+TEST_CASE("a caller that leaves gets no answer, and its attempt is cancelled") {
+  RouterFixture f;
+  f.offer(3000, [&f](Handle id) { return SendSetUp{CallId{id}, ExchangeId{1}, f.from_now(2000)}; });
+  f.next_actions = {Cancel{CallId{f.request}, 0}};
+  f.router.caller_left(f.request);
+  CHECK(f.notifications == Notifications{"abandoned"});
+  f.advance(5000);
+  CHECK(f.notifications.size() == 1);
+  CHECK(f.router.pending_count() + f.router.established_count() == 0);
 }
 
-TEST_CASE("a slot's old handle does not find its next tenant") {
+TEST_CASE("a stale handle does not find the value that reuses its slot") {
   SlotTable<int> table;
   const auto first = table.add(1);
   CHECK(table.erase(first));
