--- a/bench/routes_bench.cpp
+++ b/bench/routes_bench.cpp
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "routes/prefix_trie.hpp"
-#include "routes/spread.hpp"
+#include "routes/weighted_round_robin.hpp"
 
 namespace heathturn::routes {
 namespace {
@@ -69,7 +69,7 @@
 void trie(benchmark::State& state) {
   run<PrefixTrie>(
       state, [](const Entries& given) { return PrefixTrie(given); },
-      [](const PrefixTrie& index, const std::string& number) { return index.longest(number); });
+      [](const PrefixTrie& index, const std::string& number) { return index.longest_match(number); });
 }
 
 void ordered_map(benchmark::State& state) {
@@ -81,7 +81,7 @@
           const auto it = index.find(std::string_view(number).substr(0, length));
           if (it != index.end()) return it->second;
         }
-        return PrefixTrie::none;
+        return PrefixTrie::no_value;
       });
 }
 
@@ -89,7 +89,7 @@
   run<Entries>(
       state, [](const Entries& given) { return given; },
       [](const Entries& index, const std::string& number) {
-        std::uint32_t best = PrefixTrie::none;
+        std::uint32_t best = PrefixTrie::no_value;
         std::size_t longest = 0;
         for (const auto& [prefix, value] : index) {
           if (!number.starts_with(prefix) || prefix.size() < longest) continue;
@@ -101,12 +101,12 @@
 }
 
 void spread(benchmark::State& state) {
-  Spread spread;
-  std::vector<Spread::Slot> slots;
+  WeightedRoundRobin spread;
+  std::vector<WeightedRoundRobin::Slot> slots;
   for (std::uint64_t i = 0; i < static_cast<std::uint64_t>(state.range(0)); ++i) {
     slots.push_back({i, static_cast<double>(1 + i % 7)});
   }
-  spread.set(slots);
+  spread.set_slots(slots);
   for (auto _ : state) benchmark::DoNotOptimize(spread.next());
 }
 
--- a/src/config/explain.cpp
+++ b/src/config/explain.cpp
@@ -18,15 +18,15 @@
   throw InputError(std::string("no ") + kind + " is named \"" + name + "\"");
 }
 
-const char* fit_text(RouteTable::Fit fit) {
+const char* fit_text(RouteTable::MatchResult fit) {
   switch (fit) {
-    case RouteTable::Fit::taken:
+    case RouteTable::MatchResult::matched:
       return "taken";
-    case RouteTable::Fit::other_class:
+    case RouteTable::MatchResult::other_class:
       return "not taken: it is for another class";
-    case RouteTable::Fit::other_tenant:
+    case RouteTable::MatchResult::other_tenant:
       return "not taken: it is for another tenant";
-    case RouteTable::Fit::other_time:
+    case RouteTable::MatchResult::other_time:
       break;
   }
   return "not taken: it is for another time";
@@ -88,7 +88,7 @@
     const auto conditions = conditions_text(config, *route);
     out += "route for " + numbers_text(route->prefix) + (conditions.empty() ? "" : ", " + conditions) +
            " at " + where_text(config, route->where) + ": " + fit_text(fit) + "\n";
-    if (fit == RouteTable::Fit::taken) taken = route;
+    if (fit == RouteTable::MatchResult::matched) taken = route;
   }
   if (taken == nullptr) return out + "no route is taken: the look-up is refused\n";
   const auto& targets = config.target_lists[taken->targets];
--- a/src/config/site_diff.cpp
+++ b/src/config/site_diff.cpp
@@ -124,12 +124,13 @@
     const auto time = [&](const char* key, double before, double after) {
       value("handshakes", subject, key, units::duration_text(before), units::duration_text(after), true);
     };
-    value("handshakes", subject, "share", units::share_text(a.share), units::share_text(b.share), true);
-    time("full_cost", a.full_cost, b.full_cost);
-    time("resumed_cost", a.resumed_cost, b.resumed_cost);
-    time("slow", a.slow, b.slow);
-    value("handshakes", subject, "most_in_all", std::to_string(a.most_in_all), std::to_string(b.most_in_all),
-          true);
+    value("handshakes", subject, "share", units::share_text(a.processor_share),
+          units::share_text(b.processor_share), true);
+    time("full_cost", a.full_cost_ms, b.full_cost_ms);
+    time("resumed_cost", a.resumed_cost_ms, b.resumed_cost_ms);
+    time("slow", a.slow_handshake_ms, b.slow_handshake_ms);
+    value("handshakes", subject, "most_in_all", std::to_string(a.max_in_flight),
+          std::to_string(b.max_in_flight), true);
   }
 
   void classes() {
@@ -369,7 +370,7 @@
   };
   static void gather(const EnumConfig& config, const RouteTable& table, const std::string& prefix,
                      Cases& cases) {
-    for (const auto* route : table.chain(prefix)) {
+    for (const auto* route : table.candidate_routes(prefix)) {
       if (route->traffic_class != any)
         cases.classes.insert(config.settings.classes[route->traffic_class].name);
       if (route->tenant != any) cases.tenants.insert(config.tenants[route->tenant].name);
--- a/src/config/site_reader.cpp
+++ b/src/config/site_reader.cpp
@@ -561,12 +561,12 @@
     node.key = "handshakes";
     if (const auto* from = single("handshakes")) node = from->inner("handshakes", -1);
     auto& out = config_.handshakes;
-    out.routers = config_.settings.controller_count;
-    out.share = share(node, "share", 0.01, out.share);
-    out.full_cost = duration(node, "full_cost", 0.01, second, out.full_cost);
-    out.resumed_cost = duration(node, "resumed_cost", 0.01, second, out.resumed_cost);
-    out.most_in_all = count(node, "most_in_all", 1, 1000, out.most_in_all);
-    out.slow = duration(node, "slow", 1, 10 * second, out.slow);
+    out.router_count = config_.settings.controller_count;
+    out.processor_share = share(node, "share", 0.01, out.processor_share);
+    out.full_cost_ms = duration(node, "full_cost", 0.01, second, out.full_cost_ms);
+    out.resumed_cost_ms = duration(node, "resumed_cost", 0.01, second, out.resumed_cost_ms);
+    out.max_in_flight = count(node, "most_in_all", 1, 1000, out.max_in_flight);
+    out.slow_handshake_ms = duration(node, "slow", 1, 10 * second, out.slow_handshake_ms);
   }
 
   void read_decisions() {
--- a/src/emulator/handshake_world.cpp
+++ b/src/emulator/handshake_world.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 using handshakes::Admission;
-using handshakes::Ending;
+using handshakes::Outcome;
 
 constexpr double row_ms = 250;
 constexpr double backoff_first = 100, backoff_most = 10000;
@@ -77,14 +77,14 @@
       auto& router = routers_.emplace_back();
       router.connections.resize(plan_.connections);
       auto settings = plan_.admission;
-      settings.routers = plan_.routers;
-      settings.connections = plan_.connections;
-      settings.full_cost = plan_.full_cost;
-      settings.resumed_cost = plan_.resumed_cost;
+      settings.router_count = plan_.routers;
+      settings.connections_per_converter = plan_.connections;
+      settings.full_cost_ms = plan_.full_cost;
+      settings.resumed_cost_ms = plan_.resumed_cost;
       settings.start_capacity = plan_.start_capacity;
-      settings.cold_time = plan_.cold_time;
+      settings.cold_time_ms = plan_.cold_time;
       router.admission = std::make_unique<Admission>(settings, random_());
-      router.admission->listed(the_converter, 0, 0.0);
+      router.admission->update_converter(the_converter, 0, 0.0);
     }
     // The converter has started just now, and all routers come back at once.
     for (std::uint32_t i = 0; i < plan_.routers; ++i) {
@@ -135,7 +135,7 @@
         auto& each = routers_[i].connections[k];
         if (each.state != Connection::State::up) continue;
         each.state = Connection::State::none;
-        routers_[i].admission->closed(the_converter, agenda_.now, true);
+        routers_[i].admission->connection_closed(the_converter, agenda_.now, true);
         agenda_.at(agenda_.now + plan_.connect_time, [this, i, k] { open(i, k); });
       }
     }
@@ -157,8 +157,9 @@
     if (each.state != Connection::State::none) return;
     each.kind = handshakes::Kind::full;
     if (way_ == Way::admission) {
-      const auto verdict = router.admission->ask(the_converter, agenda_.now, router.session, 1e300);
-      if (!verdict.admitted) return again(i, k, verdict.ask_again);
+      const auto verdict =
+          router.admission->request_handshake(the_converter, agenda_.now, router.session, 1e300);
+      if (!verdict.admitted) return again(i, k, verdict.retry_at_ms);
       each.kind = verdict.kind;
     }
     each.state = Connection::State::handshake;
@@ -166,16 +167,16 @@
     const double from = agenda_.now;
     if (down()) {  // refused at once
       agenda_.at(from + 2 * plan_.connect_time,
-                 [this, i, k, number, from] { failed(i, k, number, from, Ending::refused); });
+                 [this, i, k, number, from] { failed(i, k, number, from, Outcome::refused); });
       return;
     }
     agenda_.at(from + plan_.handshake_timeout,
-               [this, i, k, number, from] { failed(i, k, number, from, Ending::timed_out); });
+               [this, i, k, number, from] { failed(i, k, number, from, Outcome::timed_out); });
     const bool resumed = router.session;
     agenda_.at(from + plan_.connect_time, [this, i, k, number, from, resumed] {
-      if (down()) return failed(i, k, number, from, Ending::refused);
+      if (down()) return failed(i, k, number, from, Outcome::refused);
       work(resumed ? plan_.resumed_cost : plan_.full_cost, [this, i, k, number, from, resumed](bool whole) {
-        whole ? up(i, k, number, from, resumed) : failed(i, k, number, from, Ending::reset);
+        whole ? up(i, k, number, from, resumed) : failed(i, k, number, from, Outcome::reset);
       });
     });
   }
@@ -191,8 +192,8 @@
     each.state = Connection::State::up;
     router.session = true;
     router.failures = 0;
-    router.admission->finished(the_converter, agenda_.now, each.kind, Ending::established, resumed,
-                               agenda_.now - from);
+    router.admission->handshake_finished(the_converter, agenda_.now, each.kind, Outcome::established, resumed,
+                                         agenda_.now - from);
     if (out_.all_back < 0 && std::all_of(routers_.begin(), routers_.end(), connected))
       out_.all_back = agenda_.now;
     auto waiting = std::move(router.waiting);
@@ -204,12 +205,13 @@
                        [](const auto& each) { return each.state == Connection::State::up; });
   }
 
-  void failed(std::uint32_t i, std::uint32_t k, std::uint64_t number, double from, Ending ending) {
+  void failed(std::uint32_t i, std::uint32_t k, std::uint64_t number, double from, Outcome ending) {
     auto& router = routers_[i];
     auto& each = router.connections[k];
     if (each.state != Connection::State::handshake || each.number != number) return;
     each.state = Connection::State::none;
-    router.admission->finished(the_converter, agenda_.now, each.kind, ending, false, agenda_.now - from);
+    router.admission->handshake_finished(the_converter, agenda_.now, each.kind, ending, false,
+                                         agenda_.now - from);
     if (way_ == Way::admission) return again(i, k, agenda_.now);
     if (way_ == Way::none) return again(i, k, agenda_.now + 1);
     const double wait =
--- a/src/enum/dot_links.cpp
+++ b/src/enum/dot_links.cpp
@@ -7,7 +7,7 @@
 
 namespace heathturn {
 
-using handshakes::Ending;
+using handshakes::Outcome;
 using maddershed::AttemptResult;
 
 namespace {
@@ -29,7 +29,7 @@
   server.name = name;
   server.context = std::move(context);
   if (!server.listed)
-    admission_.listed(id, clock_.now_ms(), std::nullopt, server.context->config().connections);
+    admission_.update_converter(id, clock_.now_ms(), std::nullopt, server.context->config().connections);
   server.listed = true;
   // What is out at the old address may end there.
   if (!moved) return;
@@ -46,7 +46,7 @@
   server.listed = false;
   timers_.cancel(server.ask);
   server.context->sessions().drop(id.value);
-  admission_.unlisted(id);
+  admission_.remove_converter(id);
   for (const auto& each : std::exchange(server.waiting, {})) fail(each.attempt, AttemptResult::not_sent);
   const auto again = servers_.find(id);
   if (again == servers_.end()) return;
@@ -137,17 +137,18 @@
   const double now = clock_.now_ms();
   double latest = 0;
   for (const auto& each : server.waiting) latest = std::max(latest, each.due);
-  const auto verdict = admission_.ask(id, now, server.context->sessions().has(id.value), latest);
+  const auto verdict =
+      admission_.request_handshake(id, now, server.context->sessions().has(id.value), latest);
   if (verdict.admitted) return open(id, server, verdict.kind);
   timers_.cancel(server.ask);
   // Who cannot wait so long is given back at once; another server may have room.
   std::vector<Handle> late;
   std::erase_if(server.waiting, [&](const auto& each) {
-    if (!verdict.too_late && each.due > verdict.ask_again) return false;
+    if (!verdict.past_deadline && each.due > verdict.retry_at_ms) return false;
     late.push_back(each.attempt);
     return true;
   });
-  if (!server.waiting.empty()) server.ask = timers_.schedule(verdict.ask_again, [this, id] { pump(id); });
+  if (!server.waiting.empty()) server.ask = timers_.schedule(verdict.retry_at_ms, [this, id] { pump(id); });
   for (const auto attempt : late) fail(attempt, AttemptResult::connect_failed);
 }
 
@@ -167,8 +168,8 @@
 void DotLinks::on_connected(Handle connection) {
   auto& line = lines_.at(connection);
   const double now = clock_.now_ms();
-  admission_.finished(line.server, now, line.admitted, Ending::established, net_.resumed(connection),
-                      now - line.since);
+  admission_.handshake_finished(line.server, now, line.admitted, Outcome::established,
+                                net_.resumed(connection), now - line.since);
   line.open = true;
   line.since = now;
   const auto server = line.server;
@@ -217,13 +218,13 @@
   if (server != servers_.end()) std::erase(server->second.lines, connection);
   const auto ending = tls::ending_of(why);
   if (line.open) {
-    admission_.closed(id, now, is_reset && !line.asked.empty());
+    admission_.connection_closed(id, now, is_reset && !line.asked.empty());
   } else {
-    admission_.finished(id, now, line.admitted, ending, false, now - line.since);
+    admission_.handshake_finished(id, now, line.admitted, ending, false, now - line.since);
   }
   // A peer that is not the right one will not be it in a moment: what waits for it goes elsewhere.
   std::vector<Handle> never_left;
-  if (!line.open && ending == Ending::not_verified && server != servers_.end()) {
+  if (!line.open && ending == Outcome::not_verified && server != servers_.end()) {
     for (const auto& each : std::exchange(server->second.waiting, {})) never_left.push_back(each.attempt);
   }
   forget_if_done(id);
--- a/src/enum/enum_service.cpp
+++ b/src/enum/enum_service.cpp
@@ -69,7 +69,7 @@
 /// Each pool's members: those of the file, and those that its registry lists.
 void EnumService::list_members() {
   const auto& pools = config_->pools;
-  std::vector<std::vector<routes::Listed>> by_pool(pools.size());
+  std::vector<std::vector<routes::PoolMember>> by_pool(pools.size());
   std::vector<Upstreams::Listed> servers;
   std::vector<std::uint32_t> limits;
   std::set<std::string> named;
@@ -92,8 +92,8 @@
       if (!from.number || instance.entry.number == *from.number) add(i, instance, from.weight, "");
     }
   }
-  selector_.list(by_pool);
-  for (auto& each : servers) each.converter.entry.number = selector_.number_of(each.converter.name);
+  selector_.set_members(by_pool);
+  for (auto& each : servers) each.converter.entry.number = selector_.exchange_number_of(each.converter.name);
   upstreams_.update(servers, std::move(limits), contexts_);
 }
 
@@ -142,7 +142,7 @@
   }
   contexts_ = loading.contexts;
   config_ = loading.config;
-  selector_.use(*loading.prepared);
+  selector_.apply_config(*loading.prepared);
   front_.use(config_);
   // What began under the old version may still take as long as that one allowed.
   longest_ms_ = std::max(longest_ms_, config_->longest_deadline_ms);
@@ -195,16 +195,16 @@
 std::string EnumService::extra_status() const {
   std::string out;
   for (std::uint32_t i = 0; i < config_->policies.size(); ++i) {
-    const auto gate = selector_.gate(i);
-    if (gate->turned_away() == 0) continue;
+    const auto gate = selector_.limiter(i);
+    if (gate->rejected_count() == 0) continue;
     out += "enum: policy " + config_->policies[i].name + " has turned away " +
-           std::to_string(gate->turned_away()) + "\n";
+           std::to_string(gate->rejected_count()) + "\n";
   }
   const auto& n = upstreams_.links().counts();
-  if (n.full + n.resumed + n.failed + n.held_back == 0) return out;
+  if (n.full + n.resumed + n.failed + n.deferred == 0) return out;
   out += "enum: handshakes full " + std::to_string(n.full) + ", resumed " + std::to_string(n.resumed) +
          ", declined " + std::to_string(n.declined) + ", failed " + std::to_string(n.failed) +
-         ", held back " + std::to_string(n.held_back) + "\n";
+         ", held back " + std::to_string(n.deferred) + "\n";
   for (const auto& [why, count] : upstreams_.links().refusals()) {
     out += "enum: " + why + " " + std::to_string(count) + "\n";
   }
--- a/src/enum/enum_service.hpp
+++ b/src/enum/enum_service.hpp
@@ -35,7 +35,7 @@
   struct Loading {
     std::atomic<bool> done{false};
     std::shared_ptr<const EnumConfig> config;
-    std::shared_ptr<routes::Selector::Prepared> prepared;
+    std::shared_ptr<routes::Selector::PreparedConfig> prepared;
     Upstreams::Contexts contexts;
     SiteDifference difference;
     std::string fault;
--- a/src/enum/front.cpp
+++ b/src/enum/front.cpp
@@ -138,16 +138,16 @@
   const auto from = client.connection == no_handle ? client.address : net_.peer(client.connection);
   routes::LookUp look_up;
   look_up.number = *number;
-  look_up.tenant = selector_.table().tenant_of(from.host);
-  look_up.traffic_class = selector_.table().class_of(*number, look_up.tenant);
+  look_up.tenant = selector_.route_table().tenant_of(from.host);
+  look_up.traffic_class = selector_.route_table().class_of(*number, look_up.tenant);
   look_up.minute_of_week = minute_of_week();
   auto choice = selector_.choose(look_up);
   if (!choice) return reply(client, query, dns::rcode::refused);
   // Nothing is in service where the number leads: said at once, not when the client's time is up.
   if (choice->candidates.empty()) return reply(client, query, dns::rcode::serv_fail);
   const auto& policy = config_->policies[choice->policy];
-  auto gate = selector_.gate(choice->policy);
-  if (gate->enter(clock_.now_ms()) != routes::Gate::Verdict::in)
+  auto gate = selector_.limiter(choice->policy);
+  if (gate->try_acquire(clock_.now_ms()) != routes::PolicyLimiter::Decision::admitted)
     return reply(client, query, dns::rcode::refused);
   const auto& kind = config_->settings.classes[look_up.traffic_class];
   Request request;
@@ -172,7 +172,7 @@
   asked.edns->dnssec_ok = query.edns && query.edns->dnssec_ok;
   request.body = dns::write_message(asked);
   if (client.connection != no_handle && !net_.begin_request(client.connection)) {
-    gate->leave();
+    gate->release();
     return reply(client, query, dns::rcode::refused);
   }
   router_.offer(*this, std::move(request), [&](Handle handle) {
@@ -189,7 +189,7 @@
   auto asked = std::move(it->second);
   asked_.erase(it);
   open_.erase(asked.key);
-  asked.gate->leave();
+  asked.gate->release();
   if (asked.client.connection != no_handle) net_.end_request(asked.client.connection);
   return asked;
 }
--- a/src/enum/front.hpp
+++ b/src/enum/front.hpp
@@ -47,7 +47,7 @@
     Client client;
     dns::Message query;
     Key key;
-    std::shared_ptr<routes::Gate> gate;  ///< of the policy that it began under
+    std::shared_ptr<routes::PolicyLimiter> gate;  ///< of the policy that it began under
   };
   void on_query(const Client& client, const std::string& bytes);
   void open_request(const Client& client, dns::Message query);
--- a/src/experiment_commands.cpp
+++ b/src/experiment_commands.cpp
@@ -86,7 +86,7 @@
   command->add_option("--calls", words->plan.calls_a_second, "Calls a second, of all routers (default: 300)");
   command->add_option("--full-cost", words->plan.full_cost,
                       "Processor time of a full handshake, ms (default: 2)");
-  command->add_option("--share", words->plan.admission.share,
+  command->add_option("--share", words->plan.admission.processor_share,
                       "Of the processor, for handshakes (default: 0.4)");
   command->footer("Exit status: 0 done, 1 the plot could not be written.");
   command->callback([words, &status] { status = run_experiment(*words); });
--- a/src/handshakes/admission.hpp
+++ b/src/handshakes/admission.hpp
@@ -14,31 +14,32 @@
 
 /// Times in ms. Costs are processor time at the converter when it is warm.
 struct Settings {
-  std::uint32_t routers = 1;       ///< that share the converters, this one included
-  double full_cost = 2;            ///< of a full handshake, until measured
-  double resumed_cost = 0.3;       ///< of a resumed one
-  double share = 0.4;              ///< of a converter's processor that the handshakes of all routers may take
+  std::uint32_t router_count = 1;  ///< that share the converters, this one included
+  double full_cost_ms = 2;         ///< of a full handshake, until measured
+  double resumed_cost_ms = 0.3;    ///< of a resumed one
+  double processor_share = 0.4;    ///< of a converter's processor that the handshakes of all routers may take
   double start_capacity = 0.3;     ///< share of its capacity that a converter has at its start
-  double cold_time = 10000;        ///< it is warm within this time
-  std::uint32_t most_at_one = 2;   ///< handshakes of this router under way with one converter
-  std::uint32_t most_in_all = 16;  ///< under way with all of them
-  std::uint32_t connections = 4;   ///< to one converter, once it is warm; one at first
-  double slow = 200;               ///< a handshake that takes longer tells of pressure
-  double backoff_first = 100;      ///< after a first failure, at most
-  double backoff_most = 30000;     ///< after any, at most
-  std::uint32_t declined_most = 3;  ///< sessions declined in a row, after which full ones are expected
-  std::uint32_t resumed_least = 2;  ///< resumed in a row, after which resumed ones are expected again
+  double cold_time_ms = 10000;     ///< it is warm within this time
+  std::uint32_t max_in_flight_per_converter = 2;  ///< handshakes of this router under way with one converter
+  std::uint32_t max_in_flight = 16;               ///< under way with all of them
+  std::uint32_t connections_per_converter = 4;    ///< to one converter, once it is warm; one at first
+  double slow_handshake_ms = 200;                 ///< a handshake that takes longer tells of pressure
+  double initial_backoff_ms = 100;                ///< after a first failure, at most
+  double max_backoff_ms = 30000;                  ///< after any, at most
+  std::uint32_t max_declined_in_a_row =
+      3;                                   ///< sessions declined in a row, after which full ones are expected
+  std::uint32_t min_resumed_in_a_row = 2;  ///< resumed in a row, after which resumed ones are expected again
 };
 
 enum class Kind { full, resumed };
-enum class Ending { established, refused, reset, timed_out, not_verified };
+enum class Outcome { established, refused, reset, timed_out, not_verified };
 
-struct Verdict {
+struct Decision {
   bool admitted = false;
   Kind kind = Kind::full;  ///< what is expected
-  double ask_again = 0;    ///< not before then; only when not admitted
+  double retry_at_ms = 0;  ///< not before then; only when not admitted
   /// Not admitted, and never before the deadline that was given: what waits for it is given up at once.
-  bool too_late = false;
+  bool past_deadline = false;
 };
 
 class Admission {
@@ -47,26 +48,28 @@
 
   /// A converter is listed; `started`: when its process began, where that is known to be lately.
   /// `connections`: to this one, where it differs from the settings.
-  void listed(ExchangeId converter, double now, std::optional<double> started,
-              std::optional<std::uint32_t> connections = std::nullopt);
+  void update_converter(ExchangeId converter, double now, std::optional<double> started,
+                        std::optional<std::uint32_t> connections = std::nullopt);
   /// It is listed no more. Nothing is kept of it.
-  void unlisted(ExchangeId converter);
+  void remove_converter(ExchangeId converter);
 
-  /// May a connection be opened now? When admitted, finished() must follow.
-  [[nodiscard]] Verdict ask(ExchangeId converter, double now, bool has_session, double deadline);
-  /// `admitted`: as ask() expected it. `resumed`: what it came to be, when established.
-  void finished(ExchangeId converter, double now, Kind admitted, Ending ending, bool resumed, double elapsed);
+  /// May a connection be opened now? When admitted, handshake_finished() must follow.
+  [[nodiscard]] Decision request_handshake(ExchangeId converter, double now, bool has_session,
+                                           double deadline);
+  /// `admitted`: as request_handshake() expected it. `resumed`: what it came to be, when established.
+  void handshake_finished(ExchangeId converter, double now, Kind admitted, Outcome outcome, bool resumed,
+                          double elapsed);
   /// An established connection has ended; `reset`: not in good order, the process may have died with it.
-  void closed(ExchangeId converter, double now, bool reset);
+  void connection_closed(ExchangeId converter, double now, bool reset);
 
   /// Connections that may be open to it now.
-  [[nodiscard]] std::uint32_t connections_wanted(ExchangeId converter, double now) const;
+  [[nodiscard]] std::uint32_t allowed_connections(ExchangeId converter, double now) const;
 
   struct Counts {
-    std::uint64_t full = 0, resumed = 0, declined = 0, failed = 0, held_back = 0;
+    std::uint64_t full = 0, resumed = 0, declined = 0, failed = 0, deferred = 0;
   };
   [[nodiscard]] const Counts& counts() const { return counts_; }
-  [[nodiscard]] std::size_t known() const { return converters_.size(); }
+  [[nodiscard]] std::size_t converter_count() const { return converters_.size(); }
 
  private:
   struct Converter {
--- a/src/net/tls/ending.hpp
+++ b/src/net/tls/ending.hpp
@@ -8,17 +8,17 @@
 
 namespace heathturn::tls {
 
-[[nodiscard]] inline handshakes::Ending ending_of(std::string_view why) {
-  using handshakes::Ending;
+[[nodiscard]] inline handshakes::Outcome ending_of(std::string_view why) {
+  using handshakes::Outcome;
   if (why == heathturn::reason::refused || why == heathturn::reason::unreachable ||
       why == heathturn::reason::too_many) {
-    return Ending::refused;
+    return Outcome::refused;
   }
-  if (why == heathturn::reason::connect_timeout || why == reason::stalled) return Ending::timed_out;
+  if (why == heathturn::reason::connect_timeout || why == reason::stalled) return Outcome::timed_out;
   if (why == heathturn::reason::reset || why == heathturn::reason::peer_closed || why == reason::broken_off) {
-    return Ending::reset;
+    return Outcome::reset;
   }
-  return Ending::not_verified;
+  return Outcome::not_verified;
 }
 
 }  // namespace heathturn::tls
--- a/src/platform/converter_backend.cpp
+++ b/src/platform/converter_backend.cpp
@@ -138,9 +138,9 @@
 void ConverterBackend::list_for_admission(const Link& link) {
   if (!context_ || link.own) return;
   const auto& entry = link.converter.entry;
-  admission_->listed(entry.exchange, clock_.now_ms(),
-                     entry.started_at ? std::optional(to_ms(*entry.started_at)) : std::nullopt,
-                     held_connections);
+  admission_->update_converter(entry.exchange, clock_.now_ms(),
+                               entry.started_at ? std::optional(to_ms(*entry.started_at)) : std::nullopt,
+                               held_connections);
 }
 
 /// As the admission allows; no_handle when it must wait. What cannot wait with it is given back at once.
@@ -150,7 +150,7 @@
   double latest = 0;
   for (const auto attempt : link.waiting) latest = std::max(latest, attempts_[attempt].due);
   const auto verdict =
-      admission_->ask(id, now, context_->sessions().has(id.value), latest > 0 ? latest : 1e300);
+      admission_->request_handshake(id, now, context_->sessions().has(id.value), latest > 0 ? latest : 1e300);
   if (verdict.admitted) {
     link.lines[line].admitted = verdict.kind;
     link.lines[line].since = now;
@@ -158,13 +158,13 @@
     return net_.connect(link.converter.address, *this, "converter", context_->config().handshake_ms,
                         {context_, id.value, link.converter.name}, offered);
   }
-  open_at(link, line, verdict.ask_again);
+  open_at(link, line, verdict.retry_at_ms);
   const bool other_coming = std::any_of(link.lines.begin(), link.lines.end(),
                                         [](const Line& l) { return l.connection != no_handle; });
   if (other_coming) return no_handle;
   std::vector<Handle> late;
   for (const auto attempt : link.waiting) {
-    if (attempts_[attempt].due <= verdict.ask_again) late.push_back(attempt);
+    if (attempts_[attempt].due <= verdict.retry_at_ms) late.push_back(attempt);
   }
   for (const auto attempt : late) {
     forget(attempt);
@@ -224,8 +224,8 @@
   if (context_) {
     const auto& line = link.lines[at.line];
     const double now = clock_.now_ms();
-    admission_->finished(at.exchange, now, line.admitted, handshakes::Ending::established,
-                         net_.resumed(connection), now - line.since);
+    admission_->handshake_finished(at.exchange, now, line.admitted, handshakes::Outcome::established,
+                                   net_.resumed(connection), now - line.since);
   }
   link.lines[at.line].open = true;
   link.lines[at.line].heard = clock_.now_ms();
@@ -245,9 +245,10 @@
     const auto& line = link.lines[at.line];
     const double now = clock_.now_ms();
     if (line.open) {
-      admission_->closed(at.exchange, now, std::string_view(why) == reason::reset);
+      admission_->connection_closed(at.exchange, now, std::string_view(why) == reason::reset);
     } else {
-      admission_->finished(at.exchange, now, line.admitted, tls::ending_of(why), false, now - line.since);
+      admission_->handshake_finished(at.exchange, now, line.admitted, tls::ending_of(why), false,
+                                     now - line.since);
     }
   }
   link.lines[at.line] = {};
@@ -344,7 +345,7 @@
     timers_.cancel(line.retry);
   }
   if (context_) {
-    admission_->unlisted(id);
+    admission_->remove_converter(id);
     context_->sessions().drop(id.value);
   }
   links_.erase(id);
--- a/src/platform/platform_service.cpp
+++ b/src/platform/platform_service.cpp
@@ -43,9 +43,9 @@
   const auto site = load_site(site_);
   if (!site.converter_tls) return;
   auto settings = site.handshakes;
-  settings.routers = config_.settings.controller_count;
+  settings.router_count = config_.settings.controller_count;
   settings.start_capacity = std::max(0.01, config_.settings.start_capacity);
-  settings.cold_time = to_ms(config_.settings.cold_time);
+  settings.cold_time_ms = to_ms(config_.settings.cold_time);
   converters_.enable_tls(std::make_shared<tls::Context>(*site.converter_tls, program_.clock().now_ms()),
                          settings);
 }
--- a/src/routes/prefix_trie.cpp
+++ b/src/routes/prefix_trie.cpp
@@ -42,24 +42,24 @@
 void PrefixTrie::walk(std::string_view number, const Visit& visit) const {
   if (nodes_.empty()) return;
   const Node* at = &nodes_.front();
-  if (at->value != none) visit(at->value);
+  if (at->value != no_value) visit(at->value);
   for (const char c : number) {
     const auto digit = static_cast<unsigned>(c - '0');
     if (digit > 9 || (at->digits >> digit & 1U) == 0) return;
     const auto below = static_cast<std::uint16_t>(at->digits & ((1U << digit) - 1));
     at = &nodes_[at->first_child + static_cast<std::size_t>(std::popcount(below))];
-    if (at->value != none) visit(at->value);
+    if (at->value != no_value) visit(at->value);
   }
 }
 
-PrefixTrie::Path PrefixTrie::path(std::string_view number) const {
-  Path out;
+PrefixTrie::Matches PrefixTrie::all_matches(std::string_view number) const {
+  Matches out;
   walk(number, [&out](std::uint32_t value) { out.values[out.size++] = value; });
   return out;
 }
 
-std::uint32_t PrefixTrie::longest(std::string_view number) const {
-  auto out = none;
+std::uint32_t PrefixTrie::longest_match(std::string_view number) const {
+  auto out = no_value;
   walk(number, [&out](std::uint32_t value) { out = value; });
   return out;
 }
--- a/src/routes/route_table.cpp
+++ b/src/routes/route_table.cpp
@@ -52,25 +52,26 @@
 std::uint32_t RouteTable::class_of(std::string_view number, std::uint32_t tenant) const {
   if (tenant != any && config_.tenants[tenant].traffic_class != any)
     return config_.tenants[tenant].traffic_class;
-  const auto found = classes_.longest(number);
-  return found == PrefixTrie::none ? 0 : found;
+  const auto found = classes_.longest_match(number);
+  return found == PrefixTrie::no_value ? 0 : found;
 }
 
-RouteTable::Fit RouteTable::fit(const Route& route, const LookUp& look_up) const {
-  if (route.traffic_class != any && route.traffic_class != look_up.traffic_class) return Fit::other_class;
-  if (route.tenant != any && route.tenant != look_up.tenant) return Fit::other_tenant;
-  if (route.schedule == any) return Fit::taken;
+RouteTable::MatchResult RouteTable::match(const Route& route, const LookUp& look_up) const {
+  if (route.traffic_class != any && route.traffic_class != look_up.traffic_class)
+    return MatchResult::other_class;
+  if (route.tenant != any && route.tenant != look_up.tenant) return MatchResult::other_tenant;
+  if (route.schedule == any) return MatchResult::matched;
   const auto& spans = config_.schedules[route.schedule];
   const bool now = std::any_of(spans.begin(), spans.end(), [&](const auto& span) {
     return span.from <= look_up.minute_of_week && look_up.minute_of_week < span.to;
   });
-  return now ? Fit::taken : Fit::other_time;
+  return now ? MatchResult::matched : MatchResult::other_time;
 }
 
 /// Visits the routes on a number's way, those of the longest prefix first, until told to stop.
 template <typename Visit>
 void RouteTable::each_on_way(std::string_view number, const Visit& visit) const {
-  const auto path = prefixes_.path(number);
+  const auto path = prefixes_.all_matches(number);
   for (auto at = path.size; at-- > 0;) {
     const auto run = path.values[at];
     for (auto i = runs_[run]; i < runs_[run + 1]; ++i) {
@@ -82,22 +83,22 @@
 const Route* RouteTable::find(const LookUp& look_up) const {
   const Route* found = nullptr;
   each_on_way(look_up.number, [&](const Route& route) {
-    if (fit(route, look_up) == Fit::taken) found = &route;
+    if (match(route, look_up) == MatchResult::matched) found = &route;
     return found == nullptr;
   });
   return found;
 }
 
-std::vector<RouteTable::Step> RouteTable::explain(const LookUp& look_up) const {
-  std::vector<Step> out;
+std::vector<RouteTable::Evaluation> RouteTable::explain(const LookUp& look_up) const {
+  std::vector<Evaluation> out;
   each_on_way(look_up.number, [&](const Route& route) {
-    out.push_back({&route, fit(route, look_up)});
-    return out.back().fit != Fit::taken;
+    out.push_back({&route, match(route, look_up)});
+    return out.back().result != MatchResult::matched;
   });
   return out;
 }
 
-std::vector<const Route*> RouteTable::chain(std::string_view number) const {
+std::vector<const Route*> RouteTable::candidate_routes(std::string_view number) const {
   std::vector<const Route*> out;
   each_on_way(number, [&](const Route& route) {
     out.push_back(&route);
@@ -106,8 +107,8 @@
   return out;
 }
 
-std::size_t RouteTable::bytes() const {
-  return prefixes_.bytes() + (runs_.capacity() + order_.capacity()) * sizeof(std::uint32_t);
+std::size_t RouteTable::memory_bytes() const {
+  return prefixes_.memory_bytes() + (runs_.capacity() + order_.capacity()) * sizeof(std::uint32_t);
 }
 
 }  // namespace heathturn::routes
--- a/src/routes/route_table.hpp
+++ b/src/routes/route_table.hpp
@@ -28,19 +28,19 @@
   /// The tenant's class, else that of the longest prefix, else the first one.
   [[nodiscard]] std::uint32_t class_of(std::string_view number, std::uint32_t tenant) const;
 
-  enum class Fit { taken, other_class, other_tenant, other_time };
-  [[nodiscard]] Fit fit(const Route& route, const LookUp& look_up) const;
+  enum class MatchResult { matched, other_class, other_tenant, other_time };
+  [[nodiscard]] MatchResult match(const Route& route, const LookUp& look_up) const;
   /// The route that a look-up takes; nothing when none fits.
   [[nodiscard]] const Route* find(const LookUp& look_up) const;
   /// The routes that are looked at, in their order, up to the one that is taken.
-  struct Step {
+  struct Evaluation {
     const Route* route = nullptr;
-    Fit fit = Fit::taken;
+    MatchResult result = MatchResult::matched;
   };
-  [[nodiscard]] std::vector<Step> explain(const LookUp& look_up) const;
+  [[nodiscard]] std::vector<Evaluation> explain(const LookUp& look_up) const;
   /// All routes whose prefix the number begins with, in the order in which they are tried.
-  [[nodiscard]] std::vector<const Route*> chain(std::string_view number) const;
-  [[nodiscard]] std::size_t bytes() const;
+  [[nodiscard]] std::vector<const Route*> candidate_routes(std::string_view number) const;
+  [[nodiscard]] std::size_t memory_bytes() const;
 
  private:
   template <typename Visit>
--- a/src/routes/selector.cpp
+++ b/src/routes/selector.cpp
@@ -21,24 +21,24 @@
 
 }  // namespace
 
-Selector::Selector(std::shared_ptr<const EnumConfig> config) { use(std::move(config)); }
+Selector::Selector(std::shared_ptr<const EnumConfig> config) { apply_config(std::move(config)); }
 
-std::shared_ptr<Selector::Prepared> Selector::prepare(std::shared_ptr<const EnumConfig> config) {
+std::shared_ptr<Selector::PreparedConfig> Selector::prepare(std::shared_ptr<const EnumConfig> config) {
   auto table = std::make_unique<RouteTable>(*config);
-  return std::make_shared<Prepared>(Prepared{std::move(config), std::move(table)});
+  return std::make_shared<PreparedConfig>(PreparedConfig{std::move(config), std::move(table)});
 }
 
-void Selector::use(Prepared& prepared) {
+void Selector::apply_config(PreparedConfig& prepared) {
   config_ = std::move(prepared.config);
   table_ = std::move(prepared.table);
   route_states_.clear();
   pools_.assign(config_->pools.size(), {});
-  std::map<std::string, std::shared_ptr<Gate>> gates;
+  std::map<std::string, std::shared_ptr<PolicyLimiter>> gates;
   gates_.clear();
   for (const auto& policy : config_->policies) {
     auto& gate = gates[policy.name];
     if (const auto it = gates_by_name_.find(policy.name); it != gates_by_name_.end()) gate = it->second;
-    if (!gate) gate = std::make_shared<Gate>();
+    if (!gate) gate = std::make_shared<PolicyLimiter>();
     gate->set_limits(policy);
     gates_.push_back(gate);
   }
@@ -53,7 +53,7 @@
   return out;
 }
 
-void Selector::list(const std::vector<std::vector<Listed>>& pools) {
+void Selector::set_members(const std::vector<std::vector<PoolMember>>& pools) {
   for (auto& [name, numbered] : numbers_) numbered.listed = false;
   for (std::uint32_t i = 0; i < pools_.size() && i < pools.size(); ++i) {
     auto& pool = pools_[i];
@@ -87,7 +87,7 @@
     pool.ready = pool.ready || each.ready;
     if (each.ready && each.weight > 0) best = std::min(best, each.zone_rank);
   }
-  std::vector<Spread::Slot> slots;
+  std::vector<WeightedRoundRobin::Slot> slots;
   pool.taking.clear();
   for (std::size_t i = 0; i < pool.members.size(); ++i) {
     const auto& each = pool.members[i];
@@ -95,10 +95,10 @@
     pool.taking.push_back(i);
     slots.push_back({each.id, each.weight});
   }
-  pool.spread.set(slots);
+  pool.spread.set_slots(slots);
 }
 
-ExchangeNumber Selector::number_of(const std::string& name) const {
+ExchangeNumber Selector::exchange_number_of(const std::string& name) const {
   const auto it = numbers_.find(name);
   return it == numbers_.end() ? no_exchange : it->second.number;
 }
@@ -116,13 +116,13 @@
   if (sharing > 1) {
     auto& state = route_states_[static_cast<std::uint32_t>(&route - config_->routes.data())];
     if (state.version != version_) {
-      std::vector<Spread::Slot> slots;
+      std::vector<WeightedRoundRobin::Slot> slots;
       for (const auto& each : targets) slots.push_back({each.pool, pools_[each.pool].ready ? each.share : 0});
-      state.spread.set(slots);
+      state.spread.set_slots(slots);
       state.version = version_;
     }
     const auto place = state.spread.next();
-    if (place != Spread::none) return place;
+    if (place != WeightedRoundRobin::no_slot) return place;
   }
   const auto ready = [this](const Target& each) { return pools_[each.pool].ready; };
   const auto with_share = std::find_if(targets.begin(), targets.end(),
@@ -135,9 +135,9 @@
 /// Who is in service, in order: as `first`, the one whose turn it is; then those that are owed most, the
 /// other zones, and those without a weight.
 void Selector::add_members(PoolState& pool, bool first, std::vector<ExchangeNumber>& out) {
-  std::size_t chosen = Spread::none;
+  std::size_t chosen = WeightedRoundRobin::no_slot;
   if (first) {
-    if (const auto place = pool.spread.next(); place != Spread::none) {
+    if (const auto place = pool.spread.next(); place != WeightedRoundRobin::no_slot) {
       chosen = pool.taking[place];
       out.push_back(pool.members[chosen].number);
     }
@@ -155,7 +155,7 @@
     const auto& each = pool.members[i];
     if (each.ready && i != chosen) others.push_back({each.weight <= 0, each.zone_rank, -owed[i], i});
   }
-  const auto room = std::min(others.size(), most_candidates - std::min(most_candidates, out.size()));
+  const auto room = std::min(others.size(), max_candidates - std::min(max_candidates, out.size()));
   std::partial_sort(others.begin(), others.begin() + static_cast<std::ptrdiff_t>(room), others.end(),
                     [](const Order& a, const Order& b) {
                       return std::tie(a.idle, a.zone_rank, a.owed, a.index) <
@@ -173,7 +173,7 @@
   const auto& targets = config_->target_lists[route->targets];
   const auto first = first_pool(*route, targets);
   add_members(pools_[targets[first].pool], true, out.candidates);
-  for (std::size_t i = 0; i < targets.size() && out.candidates.size() < most_candidates; ++i) {
+  for (std::size_t i = 0; i < targets.size() && out.candidates.size() < max_candidates; ++i) {
     if (i != first) add_members(pools_[targets[i].pool], false, out.candidates);
   }
   return out;
--- a/src/routes/selector.hpp
+++ b/src/routes/selector.hpp
@@ -10,14 +10,14 @@
 #include <unordered_map>
 #include <vector>
 
-#include "routes/gate.hpp"
+#include "routes/policy_limiter.hpp"
 #include "routes/route_table.hpp"
-#include "routes/spread.hpp"
+#include "routes/weighted_round_robin.hpp"
 
 namespace heathturn::routes {
 
 /// A member as a list names it, the operator's file or a registry.
-struct Listed {
+struct PoolMember {
   std::string name;
   double weight = 1;
   std::string zone;
@@ -34,32 +34,32 @@
 class Selector {
  public:
   /// At most so many candidates, in order.
-  static constexpr std::size_t most_candidates = 16;
+  static constexpr std::size_t max_candidates = 16;
 
   explicit Selector(std::shared_ptr<const EnumConfig> config);
   /// Goes by other settings from now on. Members are listed anew after it; shares are counted afresh, what is
   /// open under a policy of the same name counts on.
-  void use(std::shared_ptr<const EnumConfig> config) { use(*prepare(std::move(config))); }
+  void apply_config(std::shared_ptr<const EnumConfig> config) { apply_config(*prepare(std::move(config))); }
   /// The index of other settings, which takes long where these are large; it may be made on any thread.
-  struct Prepared {
+  struct PreparedConfig {
     std::shared_ptr<const EnumConfig> config;
     std::unique_ptr<RouteTable> table;
   };
-  [[nodiscard]] static std::shared_ptr<Prepared> prepare(std::shared_ptr<const EnumConfig> config);
-  void use(Prepared& prepared);
+  [[nodiscard]] static std::shared_ptr<PreparedConfig> prepare(std::shared_ptr<const EnumConfig> config);
+  void apply_config(PreparedConfig& prepared);
 
   /// The whole list, by pool. Who is not named any more is gone; who comes is given a number.
-  void list(const std::vector<std::vector<Listed>>& pools);
+  void set_members(const std::vector<std::vector<PoolMember>>& pools);
   /// Its number for the decision module; no_exchange for one that is not listed.
-  [[nodiscard]] maddershed::ExchangeNumber number_of(const std::string& name) const;
+  [[nodiscard]] maddershed::ExchangeNumber exchange_number_of(const std::string& name) const;
   /// The pool of a member, for its limit.
   [[nodiscard]] std::uint32_t pool_of(const std::string& name) const;
 
   /// Nothing when no route fits.
   [[nodiscard]] std::optional<Choice> choose(const LookUp& look_up);
-  [[nodiscard]] const RouteTable& table() const { return *table_; }
+  [[nodiscard]] const RouteTable& route_table() const { return *table_; }
   /// The door of a policy. It stays for whoever holds it, also when a reload takes the policy away.
-  [[nodiscard]] std::shared_ptr<Gate> gate(std::uint32_t policy) const { return gates_[policy]; }
+  [[nodiscard]] std::shared_ptr<PolicyLimiter> limiter(std::uint32_t policy) const { return gates_[policy]; }
 
  private:
   struct Member {
@@ -73,7 +73,7 @@
   struct PoolState {
     std::vector<Member> members;
     std::vector<std::size_t> taking;  ///< members of the best zone in service, as the spread has them
-    Spread spread;
+    WeightedRoundRobin spread;
     bool ready = false;
   };
   struct Numbered {
@@ -83,7 +83,7 @@
     bool listed = false;
   };
   struct RouteState {
-    Spread spread;
+    WeightedRoundRobin spread;
     std::uint64_t version = 0;  ///< of the list that the spread was set by
   };
   maddershed::ExchangeNumber take_number();
@@ -93,8 +93,8 @@
 
   std::shared_ptr<const EnumConfig> config_;
   std::unique_ptr<RouteTable> table_;
-  std::vector<std::shared_ptr<Gate>> gates_;
-  std::map<std::string, std::shared_ptr<Gate>> gates_by_name_;
+  std::vector<std::shared_ptr<PolicyLimiter>> gates_;
+  std::map<std::string, std::shared_ptr<PolicyLimiter>> gates_by_name_;
   std::vector<PoolState> pools_;
   std::map<std::string, Numbered> numbers_;
   std::deque<maddershed::ExchangeNumber> free_;  ///< given back, the longest ago first
--- a/src/routes/spread.cpp
+++ b/src/routes/weighted_round_robin.cpp
@@ -1,10 +1,10 @@
-#include "routes/spread.hpp"
+#include "routes/weighted_round_robin.hpp"
 
 #include <algorithm>
 
 namespace heathturn::routes {
 
-void Spread::set(const std::vector<Slot>& slots) {
+void WeightedRoundRobin::set_slots(const std::vector<Slot>& slots) {
   double sum = 0;
   for (const auto& each : slots) sum += each.weight;
   std::vector<State> fresh;
@@ -24,36 +24,36 @@
   }
   away_.insert(away_.end(), slots_.begin(), slots_.end());
   slots_ = std::move(fresh);
-  while (away_.size() > most_away) {
+  while (away_.size() > max_absent_slots) {
     settle(away_.front().credit);
     away_.erase(away_.begin());
   }
 }
 
 /// Credits always add up to nothing: what is owed to one that will not be heard of again is the others'.
-void Spread::settle(double credit) {
+void WeightedRoundRobin::settle(double credit) {
   for (auto& each : slots_) each.credit += credit * each.share;
 }
 
-std::size_t Spread::next() {
-  if (taking_ == 0) return none;
+std::size_t WeightedRoundRobin::next() {
+  if (taking_ == 0) return no_slot;
   const double edge = taking_ == 1 ? 0 : 1 / (2 * static_cast<double>(taking_) - 2);
-  std::size_t best = none, most_owed = none;
+  std::size_t best = no_slot, most_owed = no_slot;
   double soonest = 0;
   for (std::size_t i = 0; i < slots_.size(); ++i) {
     auto& slot = slots_[i];
     if (slot.share <= 0) continue;
     slot.credit += slot.share;
-    if (most_owed == none || slot.credit > slots_[most_owed].credit) most_owed = i;
+    if (most_owed == no_slot || slot.credit > slots_[most_owed].credit) most_owed = i;
     if (slot.credit < edge) continue;
     // Turns until it would be owed more than it may be.
     const double left = (1 - edge - slot.credit) / slot.share;
-    if (best == none || left < soonest) {
+    if (best == no_slot || left < soonest) {
       best = i;
       soonest = left;
     }
   }
-  if (best == none) best = most_owed;  // who is away is owed so much that nobody here is
+  if (best == no_slot) best = most_owed;  // who is away is owed so much that nobody here is
   slots_[best].credit -= 1;
   return best;
 }
--- a/src/routes/spread.hpp
+++ b/src/routes/weighted_round_robin.hpp
@@ -11,23 +11,24 @@
 /// stay as they are, after any number of turns each slot has had its share of them, off by less than 1 -
 /// 1/(2n-2) turns for n slots. When slots come and go, what each is owed stays with it, also while it is
 /// away: over any number of changes none is off by more than n turns, counting the slots that are away. At
-/// most `most_away` of these are remembered; what the one that left first is owed then goes to the others.
-class Spread {
+/// most `max_absent_slots` of these are remembered; what the one that left first is owed then goes to the
+/// others.
+class WeightedRoundRobin {
  public:
   struct Slot {
     std::uint64_t id = 0;  ///< tells the slot again after a change
     double weight = 0;     ///< not negative; 0 takes no turn
   };
   /// In any order; ids differ.
-  void set(const std::vector<Slot>& slots);
-  /// The place in the list that was set; `none` when no slot has a weight.
+  void set_slots(const std::vector<Slot>& slots);
+  /// The place in the list that was set; `no_slot` when no slot has a weight.
   std::size_t next();
   /// What a slot is owed, in turns.
   [[nodiscard]] double credit(std::size_t place) const { return slots_[place].credit; }
   [[nodiscard]] std::size_t size() const { return slots_.size(); }
 
-  static constexpr std::size_t most_away = 32;
-  static constexpr std::size_t none = static_cast<std::size_t>(-1);
+  static constexpr std::size_t max_absent_slots = 32;
+  static constexpr std::size_t no_slot = static_cast<std::size_t>(-1);
 
  private:
   struct State {
--- a/tests/router/handshakes_test.cpp
+++ b/tests/router/handshakes_test.cpp
@@ -21,26 +21,26 @@
 /// The first time at which a connection is admitted, asking when told to.
 double admitted_at(Admission& admission, ExchangeId id, double now, bool session = false) {
   for (int i = 0; i < 1000; ++i) {
-    const auto verdict = admission.ask(id, now, session, never);
+    const auto verdict = admission.request_handshake(id, now, session, never);
     if (verdict.admitted) return now;
-    CHECK(verdict.ask_again > now);
-    now = verdict.ask_again;
+    CHECK(verdict.retry_at_ms > now);
+    now = verdict.retry_at_ms;
   }
   return never;
 }
 
 TEST_CASE("a warm converter is connected to at once, a cold one within the time that all routers need") {
   Settings settings;
-  settings.routers = 50;
+  settings.router_count = 50;
   Admission admission(settings, 1);
-  admission.listed(one, 1000, std::nullopt);
-  CHECK(admission.ask(one, 1000, false, never).admitted);
+  admission.update_converter(one, 1000, std::nullopt);
+  CHECK(admission.request_handshake(one, 1000, false, never).admitted);
   // All routers' full handshakes, at the share and capacity of a converter at its start.
-  const double all = 50 * settings.full_cost / (settings.share * settings.start_capacity);
+  const double all = 50 * settings.full_cost_ms / (settings.processor_share * settings.start_capacity);
   std::vector<double> places;
   for (std::uint64_t seed = 0; seed < 400; ++seed) {
     Admission other(settings, seed);
-    other.listed(one, 1000, 1000.0);
+    other.update_converter(one, 1000, 1000.0);
     places.push_back(admitted_at(other, one, 1000) - 1000);
   }
   std::sort(places.begin(), places.end());
@@ -53,103 +53,105 @@
   REQUIRE(rc::check("budget", [](unsigned seed) {
     std::mt19937 random(seed);
     Settings settings;
-    settings.routers = 1 + random() % 100;
-    settings.connections = 1000;
-    settings.most_at_one = 1000;
-    settings.most_in_all = 1000;
+    settings.router_count = 1 + random() % 100;
+    settings.connections_per_converter = 1000;
+    settings.max_in_flight_per_converter = 1000;
+    settings.max_in_flight = 1000;
     Admission admission(settings, seed);
-    admission.listed(one, 0, std::nullopt);
+    admission.update_converter(one, 0, std::nullopt);
     double now = 0, spent = 0;
     for (int i = 0; i < 300; ++i) {
       const bool session = random() % 2 == 0;
-      const auto verdict = admission.ask(one, now, session, never);
+      const auto verdict = admission.request_handshake(one, now, session, never);
       if (!verdict.admitted) {
-        now = verdict.ask_again;
+        now = verdict.retry_at_ms;
         continue;
       }
       const bool resumed = verdict.kind == Kind::resumed && random() % 4 != 0;
-      spent += resumed ? settings.resumed_cost : settings.full_cost;
-      const auto ending = random() % 5 == 0 ? Ending::timed_out : Ending::established;
-      admission.finished(one, now, verdict.kind, ending, resumed, 10);
-      if (ending == Ending::established && random() % 2 == 0) admission.closed(one, now, false);
+      spent += resumed ? settings.resumed_cost_ms : settings.full_cost_ms;
+      const auto ending = random() % 5 == 0 ? Outcome::timed_out : Outcome::established;
+      admission.handshake_finished(one, now, verdict.kind, ending, resumed, 10);
+      if (ending == Outcome::established && random() % 2 == 0) admission.connection_closed(one, now, false);
       // One in hand, and one that came dearer than it was taken for.
-      RC_ASSERT(spent <= now * settings.share / settings.routers + 2 * settings.full_cost + 1e-6);
+      RC_ASSERT(spent <=
+                now * settings.processor_share / settings.router_count + 2 * settings.full_cost_ms + 1e-6);
     }
   }));
 }
 
 TEST_CASE("after failures the pause grows, with chance in it, up to its bound, and ends with a success") {
   Settings settings;
-  settings.routers = 10;
+  settings.router_count = 10;
   double longest = 0, before = 0;
   for (std::uint64_t seed = 0; seed < 200; ++seed) {
     Admission admission(settings, seed);
-    admission.listed(one, 0, std::nullopt);
+    admission.update_converter(one, 0, std::nullopt);
     double now = 0;
     for (int failures = 0; failures < 14; ++failures) {
       now = admitted_at(admission, one, now);
-      admission.finished(one, now, Kind::full, Ending::refused, false, 1);
-      const double next = admission.ask(one, now, false, never).ask_again - now;
+      admission.handshake_finished(one, now, Kind::full, Outcome::refused, false, 1);
+      const double next = admission.request_handshake(one, now, false, never).retry_at_ms - now;
       if (failures == 0) before = std::max(before, next);
       if (failures == 13) longest = std::max(longest, next);
     }
     now = admitted_at(admission, one, now);
-    admission.finished(one, now, Kind::full, Ending::established, false, 1);
-    CHECK(admission.connections_wanted(one, now) == settings.connections);
+    admission.handshake_finished(one, now, Kind::full, Outcome::established, false, 1);
+    CHECK(admission.allowed_connections(one, now) == settings.connections_per_converter);
   }
   CHECK(longest > 10 * before);
   // The widest pause, or the time that the eased budget takes to bring one full handshake.
-  CHECK(longest <= std::max(settings.backoff_most, settings.full_cost * 10 / settings.share / 0.05) + 1);
+  CHECK(longest <=
+        std::max(settings.max_backoff_ms, settings.full_cost_ms * 10 / settings.processor_share / 0.05) + 1);
 }
 
 TEST_CASE("a call that cannot wait for its connection is told so at once") {
   Settings settings;
-  settings.routers = 100;
+  settings.router_count = 100;
   Admission admission(settings, 3);
-  admission.listed(one, 0, 0.0);
-  const auto verdict = admission.ask(one, 0, false, 1.0);
+  admission.update_converter(one, 0, 0.0);
+  const auto verdict = admission.request_handshake(one, 0, false, 1.0);
   REQUIRE_FALSE(verdict.admitted);
-  CHECK(verdict.too_late == (verdict.ask_again >= 1.0));
-  CHECK_FALSE(admission.ask(one, 0, false, never).too_late);
-  CHECK(admission.ask(two, 0, false, never).too_late);  // not listed
+  CHECK(verdict.past_deadline == (verdict.retry_at_ms >= 1.0));
+  CHECK_FALSE(admission.request_handshake(one, 0, false, never).past_deadline);
+  CHECK(admission.request_handshake(two, 0, false, never).past_deadline);  // not listed
 }
 
 TEST_CASE("fewer connections at first, more as it warms; and never more handshakes under way than allowed") {
   Settings settings;
-  settings.connections = 5;
-  settings.most_at_one = 2;
-  settings.most_in_all = 3;
-  settings.full_cost = 0.001;
+  settings.connections_per_converter = 5;
+  settings.max_in_flight_per_converter = 2;
+  settings.max_in_flight = 3;
+  settings.full_cost_ms = 0.001;
   Admission admission(settings, 1);
-  admission.listed(one, 0, 0.0);
-  CHECK(admission.connections_wanted(one, 0) == 1);
-  CHECK(admission.connections_wanted(one, settings.cold_time / 2) == 3);
-  CHECK(admission.connections_wanted(one, settings.cold_time) == 5);
-  const double warm = settings.cold_time + 1000;
-  CHECK(admission.ask(one, warm, false, never).admitted);
-  CHECK(admission.ask(one, warm + 1, false, never).admitted);
-  CHECK_FALSE(admission.ask(one, warm + 2, false, never).admitted);
-  admission.listed(two, warm, std::nullopt);
-  CHECK(admission.ask(two, warm + 3, false, never).admitted);
-  CHECK_FALSE(admission.ask(two, warm + 4, false, never).admitted);  // three in all
-  admission.unlisted(one);  // with two under way: they count no more, and their ends change nothing
-  admission.finished(one, warm + 5, Kind::full, Ending::established, false, 1);
-  CHECK(admission.ask(two, warm + 6, false, never).admitted);
+  admission.update_converter(one, 0, 0.0);
+  CHECK(admission.allowed_connections(one, 0) == 1);
+  CHECK(admission.allowed_connections(one, settings.cold_time_ms / 2) == 3);
+  CHECK(admission.allowed_connections(one, settings.cold_time_ms) == 5);
+  const double warm = settings.cold_time_ms + 1000;
+  CHECK(admission.request_handshake(one, warm, false, never).admitted);
+  CHECK(admission.request_handshake(one, warm + 1, false, never).admitted);
+  CHECK_FALSE(admission.request_handshake(one, warm + 2, false, never).admitted);
+  admission.update_converter(two, warm, std::nullopt);
+  CHECK(admission.request_handshake(two, warm + 3, false, never).admitted);
+  CHECK_FALSE(admission.request_handshake(two, warm + 4, false, never).admitted);  // three in all
+  admission.remove_converter(one);  // with two under way: they count no more, and their ends change nothing
+  admission.handshake_finished(one, warm + 5, Kind::full, Outcome::established, false, 1);
+  CHECK(admission.request_handshake(two, warm + 6, false, never).admitted);
 }
 
 TEST_CASE("sessions that are declined again and again are expected to be, until some are taken again") {
   Settings settings;
-  settings.connections = 100;
-  settings.full_cost = 0.1;
-  settings.resumed_cost = 0.01;
+  settings.connections_per_converter = 100;
+  settings.full_cost_ms = 0.1;
+  settings.resumed_cost_ms = 0.01;
   Admission admission(settings, 1);
-  admission.listed(one, 0, std::nullopt);
+  admission.update_converter(one, 0, std::nullopt);
   double now = 0;
   const auto next = [&](bool resumed) {
     now += 1000;
-    const auto verdict = admission.ask(one, now, true, never);
+    const auto verdict = admission.request_handshake(one, now, true, never);
     REQUIRE(verdict.admitted);
-    admission.finished(one, now, verdict.kind, Ending::established, resumed, 1);
+    admission.handshake_finished(one, now, verdict.kind, Outcome::established, resumed, 1);
     return verdict.kind;
   };
   CHECK(next(false) == Kind::resumed);
@@ -164,11 +166,11 @@
 TEST_CASE("converters that are new all day long leave nothing behind") {
   Admission admission(Settings{}, 1);
   for (std::uint32_t id = 1; id < 5000; ++id) {
-    admission.listed(ExchangeId{id}, id, static_cast<double>(id));
-    (void)admission.ask(ExchangeId{id}, id, false, never);
-    admission.unlisted(ExchangeId{id});
+    admission.update_converter(ExchangeId{id}, id, static_cast<double>(id));
+    (void)admission.request_handshake(ExchangeId{id}, id, false, never);
+    admission.remove_converter(ExchangeId{id});
   }
-  CHECK(admission.known() == 0);
+  CHECK(admission.converter_count() == 0);
 }
 
 TEST_CASE("in the emulator: with admission a converter that restarts stays up, without it falls over") {
--- a/tests/router/routes_test.cpp
+++ b/tests/router/routes_test.cpp
@@ -36,26 +36,26 @@
       for (const auto& [prefix, value] : entries) {
         if (number.starts_with(prefix)) expected.push_back(value);  // the map has the shortest first
       }
-      const auto path = trie.path(number);
+      const auto path = trie.all_matches(number);
       RC_ASSERT(std::vector(path.values.begin(), path.values.begin() + static_cast<long>(path.size)) ==
                 expected);
-      RC_ASSERT(trie.longest(number) == (expected.empty() ? PrefixTrie::none : expected.back()));
+      RC_ASSERT(trie.longest_match(number) == (expected.empty() ? PrefixTrie::no_value : expected.back()));
     }
   });
 }
 
 TEST_CASE("after any number of turns each has had its share, off by less than one turn") {
-  PROPERTY("the bound of spread.hpp", [](unsigned seed) {
+  PROPERTY("the bound of weighted_round_robin.hpp", [](unsigned seed) {
     std::mt19937 random(seed);
     const auto count = 2 + random() % 12;
-    std::vector<Spread::Slot> slots;
+    std::vector<WeightedRoundRobin::Slot> slots;
     double sum = 0;
     for (std::size_t i = 0; i < count; ++i) {
       slots.push_back({i, static_cast<double>(1 + random() % 1000)});
       sum += slots.back().weight;
     }
-    Spread spread;
-    spread.set(slots);
+    WeightedRoundRobin spread;
+    spread.set_slots(slots);
     std::vector<double> turns(count, 0);
     const double bound = 1 - 1 / (2 * static_cast<double>(count) - 2) + 1e-6;
     for (int k = 1; k <= 2000; ++k) {
@@ -69,21 +69,21 @@
 TEST_CASE("slots that come and go stay within one turn for each slot, and what is owed is not forgotten") {
   PROPERTY("drift under changes", [](unsigned seed) {
     std::mt19937 random(seed);
-    Spread spread;
+    WeightedRoundRobin spread;
     std::map<std::uint64_t, double> owed;  // by what each slot's share was at each turn
-    std::vector<Spread::Slot> slots;
+    std::vector<WeightedRoundRobin::Slot> slots;
     for (int k = 0; k < 3000; ++k) {
       if (k % 17 == 0) {
         slots.clear();
         for (std::uint64_t id = 0; id < 6; ++id) {
           if (random() % 3 != 0) slots.push_back({id, static_cast<double>(1 + id)});
         }
-        spread.set(slots);
+        spread.set_slots(slots);
       }
       double sum = 0;
       for (const auto& each : slots) sum += each.weight;
       const auto place = spread.next();
-      RC_ASSERT((place == Spread::none) == slots.empty());
+      RC_ASSERT((place == WeightedRoundRobin::no_slot) == slots.empty());
       if (slots.empty()) continue;
       for (const auto& each : slots) owed[each.id] += each.weight / sum;
       owed[slots[place].id] -= 1;
@@ -91,10 +91,11 @@
     for (const auto& [id, turns] : owed) RC_ASSERT(std::abs(turns) <= 6);
   });
   // A slot that flaps at every turn keeps its part of the turns at which it is there.
-  Spread spread;
+  WeightedRoundRobin spread;
   int had = 0;
   for (int k = 0; k < 1000; ++k) {
-    spread.set(k % 2 == 0 ? std::vector<Spread::Slot>{{1, 1}, {2, 1}} : std::vector<Spread::Slot>{{1, 1}});
+    spread.set_slots(k % 2 == 0 ? std::vector<WeightedRoundRobin::Slot>{{1, 1}, {2, 1}}
+                                : std::vector<WeightedRoundRobin::Slot>{{1, 1}});
     if (spread.next() == 1) ++had;
   }
   CHECK(had > 200);
@@ -107,8 +108,8 @@
   return std::make_shared<const EnumConfig>(load_site(file.path()));
 }
 
-std::vector<std::vector<Listed>> listed(const EnumConfig& config) {
-  std::vector<std::vector<Listed>> out;
+std::vector<std::vector<PoolMember>> listed(const EnumConfig& config) {
+  std::vector<std::vector<PoolMember>> out;
   for (const auto& pool : config.pools) {
     out.emplace_back();
     for (const auto& each : pool.members)
@@ -175,8 +176,8 @@
       "route { to { pool: \"p\" share: \"70%\" } to { pool: \"q\" share: \"30%\" } to { pool: \"r\" } }");
   Selector selector(config);
   auto members = listed(*config);
-  selector.list(members);
-  const auto number = [&](const char* name) { return selector.number_of(name); };
+  selector.set_members(members);
+  const auto number = [&](const char* name) { return selector.exchange_number_of(name); };
   std::map<ExchangeNumber, int> first;
   for (int i = 0; i < 1000; ++i) {
     const auto choice = selector.choose({"641", 0, any, 0});
@@ -197,19 +198,19 @@
   CHECK(place("p2") < place("far"));
   // A whole zone out of service: the next one takes over. A whole pool: the others, by their shares.
   members[0][0].ready = members[0][1].ready = false;
-  selector.list(members);
+  selector.set_members(members);
   first.clear();
   for (int i = 0; i < 100; ++i) ++first[selector.choose({"641", 0, any, 0})->candidates.front()];
   CHECK(std::abs(first[number("far")] - 70) <= 2);
   for (auto& each : members[0]) each.ready = false;
-  selector.list(members);
+  selector.set_members(members);
   for (int i = 0; i < 100; ++i)
     CHECK(selector.choose({"641", 0, any, 0})->candidates.front() == number("q1"));
   members[1][0].ready = false;
-  selector.list(members);
+  selector.set_members(members);
   CHECK(selector.choose({"641", 0, any, 0})->candidates == std::vector{number("r1")});
   members[2][0].ready = false;
-  selector.list(members);
+  selector.set_members(members);
   CHECK(selector.choose({"641", 0, any, 0})->candidates.empty());
 }
 
@@ -221,12 +222,12 @@
   ExchangeNumber highest = 0, before = no_exchange;
   for (int i = 0; i < 10000; ++i) {
     const auto name = "m" + std::to_string(i);
-    selector.list({{{name, 1, "", true}}});
-    const auto number = selector.number_of(name);
+    selector.set_members({{{name, 1, "", true}}});
+    const auto number = selector.exchange_number_of(name);
     CHECK(number != before);
     before = number;
     highest = std::max(highest, number);
-    if (i > 0) CHECK(selector.number_of("m" + std::to_string(i - 1)) == no_exchange);
+    if (i > 0) CHECK(selector.exchange_number_of("m" + std::to_string(i - 1)) == no_exchange);
   }
   CHECK(highest < 100);
 }
@@ -234,28 +235,30 @@
 TEST_CASE("the door of a policy: so many open, so many a second, and what is saved up is bounded") {
   Policy policy;
   policy.most_open = 3;
-  Gate gate;
+  PolicyLimiter gate;
   gate.set_limits(policy);
-  for (int i = 0; i < 3; ++i) CHECK(gate.enter(0) == Gate::Verdict::in);
-  CHECK(gate.enter(0) == Gate::Verdict::too_many_open);
-  gate.leave();
-  CHECK(gate.enter(0) == Gate::Verdict::in);
+  for (int i = 0; i < 3; ++i) CHECK(gate.try_acquire(0) == PolicyLimiter::Decision::admitted);
+  CHECK(gate.try_acquire(0) == PolicyLimiter::Decision::too_many_open);
+  gate.release();
+  CHECK(gate.try_acquire(0) == PolicyLimiter::Decision::admitted);
   policy.most_open = 0;
   policy.rate = 10;
   policy.burst = 5;
   gate.set_limits(policy);  // under load
   double now = 1e12;
   int in = 0;
-  for (int i = 0; i < 100; ++i) in += gate.enter(now) == Gate::Verdict::in ? 1 : 0;
+  for (int i = 0; i < 100; ++i) in += gate.try_acquire(now) == PolicyLimiter::Decision::admitted ? 1 : 0;
   CHECK(in == 5);
-  for (int i = 0; i < 1000; ++i, now += 10) in += gate.enter(now) == Gate::Verdict::in ? 1 : 0;
+  for (int i = 0; i < 1000; ++i, now += 10)
+    in += gate.try_acquire(now) == PolicyLimiter::Decision::admitted ? 1 : 0;
   CHECK(std::abs(in - 105) <= 1);
-  CHECK(gate.enter(now - 1e9) == Gate::Verdict::too_fast);  // a clock set back gives nothing
+  CHECK(gate.try_acquire(now - 1e9) ==
+        PolicyLimiter::Decision::rate_exceeded);  // a clock set back gives nothing
   now += 3600000;
   in = 0;
-  for (int i = 0; i < 100; ++i) in += gate.enter(now) == Gate::Verdict::in ? 1 : 0;
+  for (int i = 0; i < 100; ++i) in += gate.try_acquire(now) == PolicyLimiter::Decision::admitted ? 1 : 0;
   CHECK(in == 5);
-  CHECK(gate.turned_away() > 0);
+  CHECK(gate.rejected_count() > 0);
 }
 
 TEST_CASE("a reload keeps what is open under a policy, and shares are counted afresh") {
@@ -264,17 +267,17 @@
                            "route { to { pool: \"p\" share: \"50%\" } to { pool: \"q\" share: \"50%\" } }";
   const auto before = site("policy { name: \"default\" most_open: 2 } " + rest);
   Selector selector(before);
-  selector.list(listed(*before));
-  const auto gate = selector.gate(0);
-  CHECK(gate->enter(0) == Gate::Verdict::in);
+  selector.set_members(listed(*before));
+  const auto gate = selector.limiter(0);
+  CHECK(gate->try_acquire(0) == PolicyLimiter::Decision::admitted);
   const auto after = site("policy { name: \"default\" most_open: 1 } " + rest);
-  selector.use(after);
+  selector.apply_config(after);
   CHECK(selector.choose({"1", 0, any, 0})->candidates.empty());  // nobody is listed yet
-  selector.list(listed(*after));
-  CHECK(selector.gate(0) == gate);
-  CHECK(gate->enter(0) == Gate::Verdict::too_many_open);
-  gate->leave();
-  CHECK(gate->enter(0) == Gate::Verdict::in);
+  selector.set_members(listed(*after));
+  CHECK(selector.limiter(0) == gate);
+  CHECK(gate->try_acquire(0) == PolicyLimiter::Decision::too_many_open);
+  gate->release();
+  CHECK(gate->try_acquire(0) == PolicyLimiter::Decision::admitted);
   CHECK(selector.choose({"1", 0, any, 0})->candidates.size() == 2);
 }
 
