--- a/bench/tls_bench.cpp
+++ b/bench/tls_bench.cpp
@@ -171,15 +171,15 @@
     const auto pool = tls ? "pool { name: \"p\" member { name: \"m\" address: \"" + server.address().text() +
                                 "\" } tls { trust: \"" + trust.path() + "\" } }\n"
                           : std::string("pool { name: \"p\" member { name: \"m\" address: \"$0\" } }\n");
-    const Enum e("handshakes { share: \"100%\" full_cost: \"0.01ms\" resumed_cost: \"0.01ms\" }\n" + pool +
-                 "route { to { pool: \"p\" } }\n");
+    const EnumFixture e("handshakes { share: \"100%\" full_cost: \"0.01ms\" resumed_cost: \"0.01ms\" }\n" +
+                        pool + "route { to { pool: \"p\" } }\n");
     for (int id = 1; id <= count; ++id) {
-      e.ask(Enum::query(Enum::under("1.1"), static_cast<std::uint16_t>(id)));
+      e.send_query(EnumFixture::query(EnumFixture::enum_name("1.1"), static_cast<std::uint16_t>(id)));
       if (!tls) {
-        const auto asked = e.asked(0);
-        e.send(0, asked, Enum::reply(asked.message, "sip:a@example.org"));
+        const auto asked = e.receive_query(0);
+        e.send_reply(0, asked, EnumFixture::reply(asked.message, "sip:a@example.org"));
       }
-      (void)e.answer();
+      (void)e.receive_answer();
     }
     e.program->signal(SIGTERM);
     e.program->wait();
--- a/src/enum/dns.cpp
+++ b/src/enum/dns.cpp
@@ -10,7 +10,7 @@
 namespace flag {
 constexpr std::uint32_t response = 0x8000, authoritative = 0x0400, truncated = 0x0200;
 constexpr std::uint32_t recursion_desired = 0x0100, recursion_available = 0x0080;
-constexpr std::uint32_t authentic = 0x0020, checking_disabled = 0x0010;
+constexpr std::uint32_t authentic_data = 0x0020, checking_disabled = 0x0010;
 }  // namespace flag
 
 constexpr std::size_t most_name = 255;
@@ -129,7 +129,7 @@
   Record record;
   record.name = in.name();
   record.type = static_cast<std::uint16_t>(in.number(2));
-  record.klass = static_cast<std::uint16_t>(in.number(2));
+  record.dns_class = static_cast<std::uint16_t>(in.number(2));
   record.ttl = in.number(4);
   size_of_data = in.number(2);
   const auto end = in.at() + size_of_data;
@@ -150,14 +150,14 @@
   Question question;
   question.name = in.name();
   question.type = static_cast<std::uint16_t>(in.number(2));
-  question.klass = static_cast<std::uint16_t>(in.number(2));
+  question.dns_class = static_cast<std::uint16_t>(in.number(2));
   return question;
 }
 
 void read_edns(const Record& record, Message& message, Reader& in) {
   if (message.edns || record.name.size() != 1) return in.fail();
   Edns edns;
-  edns.udp_size = std::max<std::uint16_t>(record.klass, plain_udp_size);
+  edns.udp_payload_bytes = std::max<std::uint16_t>(record.dns_class, default_udp_payload_bytes);
   edns.extended_rcode = static_cast<std::uint8_t>(record.ttl >> 24);
   edns.version = static_cast<std::uint8_t>(record.ttl >> 16);
   edns.dnssec_ok = (record.ttl & 0x8000U) != 0;
@@ -167,7 +167,7 @@
 void write_record(std::string& out, const Record& record) {
   out += record.name;
   put(out, record.type, 2);
-  put(out, record.klass, 2);
+  put(out, record.dns_class, 2);
   put(out, record.ttl, 4);
   put(out, static_cast<std::uint32_t>(record.data.size()), 2);
   out += record.data;
@@ -175,12 +175,12 @@
 
 }  // namespace
 
-bool Question::same(const Question& other) const {
-  return type == other.type && klass == other.klass && same_name(name, other.name);
+bool Question::matches(const Question& other) const {
+  return type == other.type && dns_class == other.dns_class && same_name(name, other.name);
 }
 
-std::optional<Header> read_header(const std::string& bytes) {
-  if (bytes.size() < header_size) return std::nullopt;
+std::optional<Header> parse_header(const std::string& bytes) {
+  if (bytes.size() < header_bytes) return std::nullopt;
   Reader in(bytes);
   Header header;
   header.id = static_cast<std::uint16_t>(in.number(2));
@@ -192,13 +192,13 @@
   header.truncated = is(flag::truncated);
   header.recursion_desired = is(flag::recursion_desired);
   header.recursion_available = is(flag::recursion_available);
-  header.authentic = is(flag::authentic);
+  header.authentic_data = is(flag::authentic_data);
   header.checking_disabled = is(flag::checking_disabled);
   header.rcode = static_cast<std::uint16_t>(flags & 15U);
   return header;
 }
 
-std::optional<Question> read_question(const std::string& bytes) {
+std::optional<Question> parse_question(const std::string& bytes) {
   Reader in(bytes);
   in.take(4);
   const auto questions = in.number(2);
@@ -207,8 +207,8 @@
   return in.good() && questions == 1 ? std::optional(question) : std::nullopt;
 }
 
-std::optional<Message> read_message(const std::string& bytes) {
-  const auto header = read_header(bytes);
+std::optional<Message> parse_message(const std::string& bytes) {
+  const auto header = parse_header(bytes);
   if (!header) return std::nullopt;
   Reader in(bytes);
   in.take(4);
@@ -236,16 +236,17 @@
   return message;
 }
 
-std::string write_message(const Message& message) {
+std::string serialize_message(const Message& message) {
   std::string out;
   put(out, message.id, 2);
   const auto bit = [](bool set, std::uint32_t which) { return set ? which : 0U; };
-  const std::uint32_t flags =
-      bit(message.response, flag::response) | (message.opcode & 15U) << 11 |
-      bit(message.authoritative, flag::authoritative) | bit(message.truncated, flag::truncated) |
-      bit(message.recursion_desired, flag::recursion_desired) |
-      bit(message.recursion_available, flag::recursion_available) | bit(message.authentic, flag::authentic) |
-      bit(message.checking_disabled, flag::checking_disabled) | (message.rcode & 15U);
+  const std::uint32_t flags = bit(message.response, flag::response) | (message.opcode & 15U) << 11 |
+                              bit(message.authoritative, flag::authoritative) |
+                              bit(message.truncated, flag::truncated) |
+                              bit(message.recursion_desired, flag::recursion_desired) |
+                              bit(message.recursion_available, flag::recursion_available) |
+                              bit(message.authentic_data, flag::authentic_data) |
+                              bit(message.checking_disabled, flag::checking_disabled) | (message.rcode & 15U);
   put(out, flags, 2);
   put(out, message.question ? 1 : 0, 2);
   put(out, static_cast<std::uint32_t>(message.answers.size()), 2);
@@ -254,7 +255,7 @@
   if (message.question) {
     out += message.question->name;
     put(out, message.question->type, 2);
-    put(out, message.question->klass, 2);
+    put(out, message.question->dns_class, 2);
   }
   for (const auto& record : message.answers) write_record(out, record);
   for (const auto& record : message.authority) write_record(out, record);
@@ -262,23 +263,23 @@
     const auto ttl = static_cast<std::uint32_t>(message.rcode >> 4) << 24 |
                      static_cast<std::uint32_t>(message.edns->version) << 16 |
                      (message.edns->dnssec_ok ? 0x8000U : 0U);
-    write_record(out, {std::string(1, '\0'), type::opt, message.edns->udp_size, ttl, {}});
+    write_record(out, {std::string(1, '\0'), type::opt, message.edns->udp_payload_bytes, ttl, {}});
   }
   return out;
 }
 
-std::string write_fitting(const Message& message, std::size_t most) {
-  auto whole = write_message(message);
+std::string serialize_within(const Message& message, std::size_t most) {
+  auto whole = serialize_message(message);
   if (whole.size() <= most) return whole;
   // The authority of a positive answer may be left out without a word; of the rest a part would mislead.
   auto less = message;
   if (!less.answers.empty()) less.authority.clear();
-  whole = write_message(less);
+  whole = serialize_message(less);
   if (whole.size() <= most) return whole;
   less.answers.clear();
   less.authority.clear();
   less.truncated = true;
-  return write_message(less);
+  return serialize_message(less);
 }
 
 std::optional<std::string> name_from_text(const std::string& text) {
@@ -318,7 +319,7 @@
   return out;
 }
 
-std::optional<std::string> number_of(const std::string& name, const std::string& suffix) {
+std::optional<std::string> number_from_name(const std::string& name, const std::string& suffix) {
   const auto text = name_to_text(name);
   const auto tail = "." + suffix;
   if (!text.ends_with(tail)) return std::nullopt;
--- a/src/enum/dns.hpp
+++ b/src/enum/dns.hpp
@@ -19,28 +19,28 @@
                                refused = 5, bad_vers = 16;
 }
 
-inline constexpr std::size_t plain_udp_size = 512;  ///< without EDNS
-inline constexpr std::uint16_t own_udp_size = 1232;
-inline constexpr std::size_t header_size = 12;
+inline constexpr std::size_t default_udp_payload_bytes = 512;  ///< without EDNS
+inline constexpr std::uint16_t advertised_udp_payload_bytes = 1232;
+inline constexpr std::size_t header_bytes = 12;
 
 struct Question {
   std::string name;  ///< uncompressed, as on the wire, in the sender's case
   std::uint16_t type = 0;
-  std::uint16_t klass = 0;
+  std::uint16_t dns_class = 0;
   /// Names differ in nothing by case.
-  [[nodiscard]] bool same(const Question& other) const;
+  [[nodiscard]] bool matches(const Question& other) const;
 };
 
 struct Record {
   std::string name;  ///< uncompressed
   std::uint16_t type = 0;
-  std::uint16_t klass = 0;
+  std::uint16_t dns_class = 0;
   std::uint32_t ttl = 0;
   std::string data;  ///< names in it uncompressed
 };
 
 struct Edns {
-  std::uint16_t udp_size = plain_udp_size;
+  std::uint16_t udp_payload_bytes = default_udp_payload_bytes;
   std::uint8_t version = 0;
   std::uint8_t extended_rcode = 0;
   bool dnssec_ok = false;
@@ -52,7 +52,7 @@
   bool response = false;
   std::uint8_t opcode = 0;
   bool authoritative = false, truncated = false, recursion_desired = false, recursion_available = false;
-  bool authentic = false, checking_disabled = false;
+  bool authentic_data = false, checking_disabled = false;
   std::uint16_t rcode = 0;
 };
 struct Message : Header {
@@ -61,21 +61,21 @@
   std::optional<Edns> edns;
 };
 
-[[nodiscard]] std::optional<Header> read_header(const std::string& bytes);
+[[nodiscard]] std::optional<Header> parse_header(const std::string& bytes);
 /// The question alone, whatever comes after it: a truncated message may be cut anywhere.
-[[nodiscard]] std::optional<Question> read_question(const std::string& bytes);
+[[nodiscard]] std::optional<Question> parse_question(const std::string& bytes);
 /// Nothing when the message is malformed in any part: a loop of compression, a length past the end, more
 /// than one question, bytes after the last record.
-[[nodiscard]] std::optional<Message> read_message(const std::string& bytes);
-[[nodiscard]] std::string write_message(const Message& message);
+[[nodiscard]] std::optional<Message> parse_message(const std::string& bytes);
+[[nodiscard]] std::string serialize_message(const Message& message);
 /// At most `most` bytes: what does not fit is left out, and the message says that it was.
-[[nodiscard]] std::string write_fitting(const Message& message, std::size_t most);
+[[nodiscard]] std::string serialize_within(const Message& message, std::size_t most);
 
 /// "4.3.2.1.enum.example.org" as on the wire; nothing for what is no name.
 [[nodiscard]] std::optional<std::string> name_from_text(const std::string& text);
 /// In lower case, without the last dot; bytes that are not plain letters are written as \DDD.
 [[nodiscard]] std::string name_to_text(const std::string& name);
 /// The E.164 number (its digits) that a name under `suffix` (as name_to_text gives it) stands for.
-[[nodiscard]] std::optional<std::string> number_of(const std::string& name, const std::string& suffix);
+[[nodiscard]] std::optional<std::string> number_from_name(const std::string& name, const std::string& suffix);
 
 }  // namespace heathturn::dns
--- a/src/enum/dot_links.cpp
+++ b/src/enum/dot_client.cpp
@@ -1,4 +1,4 @@
-#include "enum/dot_links.hpp"
+#include "enum/dot_client.hpp"
 
 #include <algorithm>
 #include <cstring>
@@ -17,12 +17,12 @@
 
 }  // namespace
 
-DotLinks::DotLinks(Clock& clock, TimerQueue& timers, Connections& net, const handshakes::Settings& settings,
-                   std::uint64_t seed, DotUser& user)
+DotClient::DotClient(Clock& clock, TimerQueue& timers, Connections& net, const handshakes::Settings& settings,
+                     std::uint64_t seed, DotClientHandler& user)
     : clock_(clock), timers_(timers), net_(net), user_(user), admission_(settings, seed) {}
 
-void DotLinks::listed(ExchangeId id, const Address& address, const std::string& name,
-                      std::shared_ptr<tls::Context> context) {
+void DotClient::update_server(ExchangeId id, const Address& address, const std::string& name,
+                              std::shared_ptr<tls::Context> context) {
   auto& server = servers_[id];
   const bool moved = server.listed && server.address != address;
   server.address = address;
@@ -39,7 +39,7 @@
   }
 }
 
-void DotLinks::unlisted(ExchangeId id) {
+void DotClient::remove_server(ExchangeId id) {
   const auto it = servers_.find(id);
   if (it == servers_.end() || !it->second.listed) return;
   auto& server = it->second;
@@ -57,19 +57,19 @@
   forget_if_done(id);
 }
 
-void DotLinks::forget_if_done(ExchangeId id) {
+void DotClient::forget_if_done(ExchangeId id) {
   const auto it = servers_.find(id);
   if (it != servers_.end() && !it->second.listed && it->second.lines.empty()) servers_.erase(it);
 }
 
-void DotLinks::fail(Handle attempt, AttemptResult result) {
+void DotClient::fail(Handle attempt, AttemptResult result) {
   attempts_.erase(attempt);
   user_.on_dot_failed(attempt, result);
 }
 
 // ---- Look-ups ---------------------------------------------------------------------------------------------
 
-void DotLinks::send(Handle attempt, ExchangeId id, double due) {
+void DotClient::send(Handle attempt, ExchangeId id, double due) {
   const auto it = servers_.find(id);
   if (it == servers_.end() || !it->second.listed)
     return user_.on_dot_failed(attempt, AttemptResult::not_sent);
@@ -78,7 +78,7 @@
   pump(id);
 }
 
-void DotLinks::give_up(Handle attempt) {
+void DotClient::abandon(Handle attempt) {
   const auto it = attempts_.find(attempt);
   if (it == attempts_.end()) return;
   const auto at = it->second;
@@ -94,7 +94,7 @@
 }
 
 /// What waits goes out on the open lines. A line may end under it, and with its last line a server.
-void DotLinks::dispatch(ExchangeId id) {
+void DotClient::dispatch(ExchangeId id) {
   const double now = clock_.now_ms();
   const auto lines = servers_.at(id).lines;
   for (const auto handle : lines) {
@@ -114,7 +114,7 @@
       const auto next = waiting.front();
       waiting.pop_front();
       const auto number = line.next_id++;
-      const auto bytes = user_.query_for(next.attempt, number);
+      const auto bytes = user_.serialize_query(next.attempt, number);
       std::string framed;
       put_big_endian(framed, bytes.size(), 2);
       line.asked[number] = next.attempt;
@@ -124,7 +124,7 @@
   }
 }
 
-void DotLinks::pump(ExchangeId id) {
+void DotClient::pump(ExchangeId id) {
   auto it = servers_.find(id);
   if (it == servers_.end()) return;
   dispatch(id);
@@ -154,7 +154,7 @@
 
 // ---- Connections ------------------------------------------------------------------------------------------
 
-void DotLinks::open(ExchangeId id, Server& server, handshakes::Kind admitted) {
+void DotClient::open(ExchangeId id, Server& server, handshakes::Kind admitted) {
   bool offered = false;
   const auto handle = net_.connect(server.address, *this, "upstream", server.context->config().handshake_ms,
                                    {server.context, id.value, server.name}, offered);
@@ -165,7 +165,7 @@
   line.since = clock_.now_ms();
 }
 
-void DotLinks::on_connected(Handle connection) {
+void DotClient::on_connected(Handle connection) {
   auto& line = lines_.at(connection);
   const double now = clock_.now_ms();
   admission_.handshake_finished(line.server, now, line.admitted, Outcome::established,
@@ -177,7 +177,7 @@
   if (lines_.contains(connection)) retire_if_idle(connection);
 }
 
-void DotLinks::on_input(Handle connection, evbuffer* in) {
+void DotClient::on_input(Handle connection, evbuffer* in) {
   net_.each_counted(connection, in, 2, most_message, [this, connection](const std::string& message) {
     if (message.size() < 2) throw Unreadable{reason::malformed};
     const auto line = lines_.find(connection);
@@ -196,7 +196,7 @@
 }
 
 /// A line that takes nothing new ends once nobody waits on it.
-void DotLinks::retire_if_idle(Handle connection) {
+void DotClient::retire_if_idle(Handle connection) {
   const auto& line = lines_.at(connection);
   const bool waits = std::any_of(line.asked.begin(), line.asked.end(),
                                  [](const auto& each) { return each.second != no_handle; });
@@ -205,7 +205,7 @@
   net_.close(connection, reason::finished);
 }
 
-void DotLinks::on_ended(Handle connection, const char* why) {
+void DotClient::on_ended(Handle connection, const char* why) {
   const auto it = lines_.find(connection);
   if (it == lines_.end()) return;
   const auto line = std::move(it->second);
@@ -213,7 +213,7 @@
   const auto id = line.server;
   const double now = clock_.now_ms();
   const bool is_reset = std::strcmp(why, reason::reset) == 0 || std::strcmp(why, reason::peer_closed) == 0;
-  if (std::string(why).starts_with("tls_")) ++refusals_[why];
+  if (std::string(why).starts_with("tls_")) ++tls_failures_[why];
   const auto server = servers_.find(id);
   if (server != servers_.end()) std::erase(server->second.lines, connection);
   const auto ending = tls::ending_of(why);
--- a/src/enum/dot_links.hpp
+++ b/src/enum/dot_client.hpp
@@ -15,35 +15,35 @@
 namespace heathturn {
 
 /// Who asks over these links.
-class DotUser {
+class DotClientHandler {
  public:
-  virtual ~DotUser() = default;
+  virtual ~DotClientHandler() = default;
   /// The look-up as a message with this id, which its answer will bear.
-  virtual std::string query_for(Handle attempt, std::uint16_t id) = 0;
+  virtual std::string serialize_query(Handle attempt, std::uint16_t id) = 0;
   /// The attempt is over for these links, whatever the message says.
   virtual void on_dot_answer(Handle attempt, const std::string& message) = 0;
   /// connect_failed: it never left; reset: it may have run.
   virtual void on_dot_failed(Handle attempt, maddershed::AttemptResult result) = 0;
 };
 
-class DotLinks : public ConnectionUser {
+class DotClient : public ConnectionUser {
  public:
-  DotLinks(Clock& clock, TimerQueue& timers, Connections& net, const handshakes::Settings& settings,
-           std::uint64_t seed, DotUser& user);
+  DotClient(Clock& clock, TimerQueue& timers, Connections& net, const handshakes::Settings& settings,
+            std::uint64_t seed, DotClientHandler& user);
 
   /// A server is listed, or listed anew. Connections opened from now on go by this context.
-  void listed(ExchangeId server, const Address& address, const std::string& name,
-              std::shared_ptr<tls::Context> context);
+  void update_server(ExchangeId server, const Address& address, const std::string& name,
+                     std::shared_ptr<tls::Context> context);
   /// It is listed no more: nothing new goes there, what is out may end.
-  void unlisted(ExchangeId server);
+  void remove_server(ExchangeId server);
 
   /// `due`: when the look-up is of no use any more.
   void send(Handle attempt, ExchangeId server, double due);
-  void give_up(Handle attempt);
+  void abandon(Handle attempt);
 
   [[nodiscard]] const handshakes::Admission::Counts& counts() const { return admission_.counts(); }
   /// Ended handshakes and connections by reason, TLS's own ones.
-  [[nodiscard]] const std::map<std::string, std::uint64_t>& refusals() const { return refusals_; }
+  [[nodiscard]] const std::map<std::string, std::uint64_t>& tls_failures() const { return tls_failures_; }
 
   void on_connected(Handle connection) override;
   void on_input(Handle connection, evbuffer* in) override;
@@ -87,12 +87,12 @@
   Clock& clock_;
   TimerQueue& timers_;
   Connections& net_;
-  DotUser& user_;
+  DotClientHandler& user_;
   handshakes::Admission admission_;
   std::map<ExchangeId, Server> servers_;
   std::unordered_map<Handle, Line> lines_;  ///< by connection
   std::unordered_map<Handle, At> attempts_;
-  std::map<std::string, std::uint64_t> refusals_;
+  std::map<std::string, std::uint64_t> tls_failures_;
 };
 
 }  // namespace heathturn
--- a/src/enum/upstreams.cpp
+++ b/src/enum/enum_backend.cpp
@@ -1,4 +1,4 @@
-#include "enum/upstreams.hpp"
+#include "enum/enum_backend.hpp"
 
 #include <algorithm>
 
@@ -8,23 +8,23 @@
 
 using namespace maddershed;
 
-Upstreams::Upstreams(Clock& clock, TimerQueue& timers, Connections& net, Datagrams& datagrams, Router& router,
-                     const handshakes::Settings& handshakes, std::uint64_t seed)
+EnumBackend::EnumBackend(Clock& clock, TimerQueue& timers, Connections& net, Datagrams& datagrams,
+                         Router& router, const handshakes::Settings& handshakes, std::uint64_t seed)
     : clock_(clock),
       net_(net),
       datagrams_(datagrams),
       router_(router),
-      links_(clock, timers, net, handshakes, seed, *this) {}
+      dot_client_(clock, timers, net, handshakes, seed, *this) {}
 
 /// A server that has gone for good and comes back is a new one to the module.
-ExchangeId Upstreams::id_of(const std::string& name) {
+ExchangeId EnumBackend::id_of(const std::string& name) {
   const auto [it, fresh] = ids_.try_emplace(name);
   if (fresh) it->second = ExchangeId{++last_id_};
   return it->second;
 }
 
-void Upstreams::update(const std::vector<Listed>& list, std::vector<std::uint32_t> pool_limits,
-                       const Contexts& contexts) {
+void EnumBackend::update_servers(const std::vector<ListedServer>& list,
+                                 std::vector<std::uint32_t> pool_limits, const TlsContexts& contexts) {
   const bool other_pools =
       pool_limits.size() != pools_.size() ||
       !std::equal(pools_.begin(), pools_.end(), pool_limits.begin(),
@@ -51,10 +51,10 @@
     server.secured = contexts[each.pool] != nullptr;
     const auto id = server.converter.entry.exchange;
     if (server.secured)
-      links_.listed(id, server.converter.address, server.converter.name, contexts[each.pool]);
+      dot_client_.update_server(id, server.converter.address, server.converter.name, contexts[each.pool]);
   }
   for (const auto& [id, server] : servers_) {
-    if (!server.listed || !server.secured) links_.unlisted(id);
+    if (!server.listed || !server.secured) dot_client_.remove_server(id);
   }
   forget_gone();
   router_.directory_updated(update);
@@ -62,7 +62,7 @@
 }
 
 /// Nothing is kept of a server that has gone, once its last look-up is over: names may be new all day long.
-void Upstreams::forget_gone() {
+void EnumBackend::forget_gone() {
   std::erase_if(servers_, [this](const auto& each) {
     const auto& server = each.second;
     if (server.listed || server.out > 0) return false;
@@ -71,14 +71,14 @@
   });
 }
 
-std::vector<ConverterView> Upstreams::view() const {
+std::vector<ConverterView> EnumBackend::server_views() const {
   std::vector<ConverterView> out;
   for (const auto& [id, server] : servers_) out.push_back({server.converter, server.out});
   return out;
 }
 
 /// What a server may still be sent: its own limit, and what its pool leaves.
-std::uint32_t Upstreams::room_at(const Server& server) const {
+std::uint32_t EnumBackend::room_at(const Server& server) const {
   const auto own = server.converter.circuits - std::min(server.converter.circuits, server.out);
   if (server.pool >= pools_.size() || pools_[server.pool].most == 0) return own;
   const auto& pool = pools_[server.pool];
@@ -86,7 +86,7 @@
 }
 
 /// The group towards a server is what it is allowed to have in work for us at once.
-void Upstreams::tell_group(ExchangeId exchange) {
+void EnumBackend::tell_group(ExchangeId exchange) {
   const auto it = servers_.find(exchange);
   if (it == servers_.end()) return;
   LoadReport report;
@@ -95,8 +95,8 @@
   router_.exchange_reported(exchange, report);
 }
 
-void Upstreams::send_attempt(Handle attempt, ExchangeId exchange, const Request& request,
-                             double time_left_ms) {
+void EnumBackend::send_attempt(Handle attempt, ExchangeId exchange, const Request& request,
+                               double time_left_ms) {
   const auto found = servers_.find(exchange);
   if (found == servers_.end()) return router_.attempt_ended(attempt, {.result = AttemptResult::not_sent});
   auto& server = found->second;
@@ -104,7 +104,7 @@
     return router_.attempt_ended(attempt,
                                  {.result = AttemptResult::not_sent, .cause = FailureCause::no_circuit});
   }
-  const auto asked = dns::read_message(request.body);
+  const auto asked = dns::parse_message(request.body);
   const auto socket = server.secured ? no_handle : datagrams_.connect(server.converter.address, *this);
   if (!asked || (socket == no_handle && !server.secured)) {
     return router_.attempt_ended(attempt, {.result = AttemptResult::connect_failed});
@@ -117,27 +117,27 @@
   look_up.query.id = unpredictable();
   look_up.socket = socket;
   look_up.due = clock_.now_ms() + time_left_ms;
-  const auto bytes = dns::write_message(look_up.query);
+  const auto bytes = dns::serialize_message(look_up.query);
   const double due = look_up.due;
   look_ups_[attempt] = std::move(look_up);
   ++server.out;
   if (server.pool < pools_.size()) ++pools_[server.pool].out;
   if (server.secured) {
     tell_group(exchange);
-    return links_.send(attempt, exchange, due);
+    return dot_client_.send(attempt, exchange, due);
   }
   by_socket_[socket] = attempt;
   if (!datagrams_.send(socket, bytes)) return end(attempt, AttemptResult::connect_failed);
   tell_group(exchange);
 }
 
-void Upstreams::forget(Handle attempt) {
+void EnumBackend::forget(Handle attempt) {
   const auto it = look_ups_.find(attempt);
   if (it == look_ups_.end()) return;
   const auto look_up = std::move(it->second);
   look_ups_.erase(it);
   if (look_up.socket == no_handle) {
-    links_.give_up(attempt);
+    dot_client_.abandon(attempt);
   } else {
     by_socket_.erase(look_up.socket);
     datagrams_.close(look_up.socket);
@@ -151,7 +151,7 @@
   if (server != servers_.end() && --server->second.out == 0 && !server->second.listed) forget_gone();
 }
 
-void Upstreams::abandon_attempt(Handle attempt) {
+void EnumBackend::abandon_attempt(Handle attempt) {
   const auto it = look_ups_.find(attempt);
   if (it == look_ups_.end()) return;
   const auto exchange = it->second.exchange;
@@ -159,16 +159,16 @@
   tell_group(exchange);
 }
 
-void Upstreams::end(Handle attempt, AttemptResult result, FailureCause cause) {
+void EnumBackend::end(Handle attempt, AttemptResult result, FailureCause cause) {
   abandon_attempt(attempt);
   router_.attempt_ended(attempt, {.result = result, .cause = cause});
 }
 
-void Upstreams::on_datagram(Handle socket, const Address&, const std::string& bytes) {
+void EnumBackend::on_datagram(Handle socket, const Address&, const std::string& bytes) {
   if (const auto it = by_socket_.find(socket); it != by_socket_.end()) take_answer(it->second, bytes, false);
 }
 
-void Upstreams::on_refused(Handle socket) {
+void EnumBackend::on_refused(Handle socket) {
   // Nobody listens there: the look-up never ran.
   if (const auto it = by_socket_.find(socket); it != by_socket_.end())
     end(it->second, AttemptResult::connect_failed);
@@ -176,13 +176,13 @@
 
 /// Takes the first reply that is one to this look-up. Whatever else comes (from elsewhere, late, to another
 /// question, a second time with other records) is dropped and the look-up goes on.
-void Upstreams::take_answer(Handle attempt, const std::string& bytes, bool over_tcp) {
+void EnumBackend::take_answer(Handle attempt, const std::string& bytes, bool over_tcp) {
   auto& look_up = look_ups_[attempt];
-  const auto header = dns::read_header(bytes);
+  const auto header = dns::parse_header(bytes);
   if (!header || !header->response || header->id != look_up.query.id) return;
   if (!over_tcp && look_up.connection != no_handle) return;  // it goes on over TCP already
-  const auto question = dns::read_question(bytes);
-  if (!question || !question->same(*look_up.query.question)) return;
+  const auto question = dns::parse_question(bytes);
+  if (!question || !question->matches(*look_up.query.question)) return;
   if (header->truncated) {
     if (over_tcp) return end(attempt, AttemptResult::error);
     const double left = std::max(1.0, look_up.due - clock_.now_ms());
@@ -193,7 +193,7 @@
     by_connection_[connection] = attempt;
     return;
   }
-  const auto reply = dns::read_message(bytes);
+  const auto reply = dns::parse_message(bytes);
   if (!reply || reply->opcode != 0) return;  // malformed: it may be forged, the true one may still come
   if (reply->rcode != dns::rcode::no_error && reply->rcode != dns::rcode::nx_domain) {
     return end(attempt, AttemptResult::error);
@@ -201,7 +201,7 @@
   deliver(attempt, bytes);
 }
 
-void Upstreams::deliver(Handle attempt, const std::string& bytes) {
+void EnumBackend::deliver(Handle attempt, const std::string& bytes) {
   const auto exchange = look_ups_[attempt].exchange;
   forget(attempt);
   router_.attempt_succeeded(attempt, bytes);
@@ -209,45 +209,45 @@
   tell_group(exchange);
 }
 
-std::string Upstreams::query_for(Handle attempt, std::uint16_t id) {
+std::string EnumBackend::serialize_query(Handle attempt, std::uint16_t id) {
   auto& query = look_ups_[attempt].query;
   query.id = id;
-  return dns::write_message(query);
+  return dns::serialize_message(query);
 }
 
 /// On a connection that is verified whole, what does not fit is the server's own fault.
-void Upstreams::on_dot_answer(Handle attempt, const std::string& message) {
-  const auto reply = dns::read_message(message);
+void EnumBackend::on_dot_answer(Handle attempt, const std::string& message) {
+  const auto reply = dns::parse_message(message);
   const auto& query = look_ups_[attempt].query;
   const bool fits = reply && reply->response && reply->opcode == 0 && !reply->truncated && reply->question &&
-                    reply->question->same(*query.question);
+                    reply->question->matches(*query.question);
   if (!fits || (reply->rcode != dns::rcode::no_error && reply->rcode != dns::rcode::nx_domain)) {
     return end(attempt, AttemptResult::error);
   }
   deliver(attempt, message);
 }
 
-void Upstreams::on_dot_failed(Handle attempt, AttemptResult result) { end(attempt, result); }
+void EnumBackend::on_dot_failed(Handle attempt, AttemptResult result) { end(attempt, result); }
 
-void Upstreams::on_connected(Handle connection) {
+void EnumBackend::on_connected(Handle connection) {
   const auto it = by_connection_.find(connection);
   if (it == by_connection_.end()) return net_.close(connection, reason::finished);
   auto& look_up = look_ups_[it->second];
   look_up.query.id = unpredictable();
-  const auto bytes = dns::write_message(look_up.query);
+  const auto bytes = dns::serialize_message(look_up.query);
   std::string framed;
   put_big_endian(framed, bytes.size(), 2);
   net_.write(connection, framed + bytes);
 }
 
-void Upstreams::on_input(Handle connection, evbuffer* in) {
+void EnumBackend::on_input(Handle connection, evbuffer* in) {
   net_.each_counted(connection, in, 2, 65535, [this, connection](const std::string& message) {
     const auto it = by_connection_.find(connection);
     if (it != by_connection_.end()) take_answer(it->second, message, true);
   });
 }
 
-void Upstreams::on_ended(Handle connection, const char*) {
+void EnumBackend::on_ended(Handle connection, const char*) {
   const auto it = by_connection_.find(connection);
   if (it == by_connection_.end()) return;
   const auto attempt = it->second;
--- a/src/enum/upstreams.hpp
+++ b/src/enum/enum_backend.hpp
@@ -9,29 +9,29 @@
 
 #include "core/router.hpp"
 #include "enum/dns.hpp"
-#include "enum/dot_links.hpp"
+#include "enum/dot_client.hpp"
 #include "net/connections.hpp"
 #include "net/datagrams.hpp"
 #include "service.hpp"
 
 namespace heathturn {
 
-class Upstreams : public Backend, public ConnectionUser, public DatagramUser, public DotUser {
+class EnumBackend : public Backend, public ConnectionUser, public DatagramUser, public DotClientHandler {
  public:
-  Upstreams(Clock& clock, TimerQueue& timers, Connections& net, Datagrams& datagrams, Router& router,
-            const handshakes::Settings& handshakes, std::uint64_t seed);
+  EnumBackend(Clock& clock, TimerQueue& timers, Connections& net, Datagrams& datagrams, Router& router,
+              const handshakes::Settings& handshakes, std::uint64_t seed);
   /// The whole list: those it leaves out are gone.
   /// `pool_limits`: look-ups out at once in each pool, 0 for no limit; each server is told with its pool.
-  struct Listed {
+  struct ListedServer {
     Converter converter;
     std::uint32_t pool = 0;
   };
   /// `contexts`: of each pool, null where its look-ups go in plain.
-  using Contexts = std::vector<std::shared_ptr<tls::Context>>;
-  void update(const std::vector<Listed>& list, std::vector<std::uint32_t> pool_limits,
-              const Contexts& contexts);
-  [[nodiscard]] const DotLinks& links() const { return links_; }
-  [[nodiscard]] std::vector<ConverterView> view() const;
+  using TlsContexts = std::vector<std::shared_ptr<tls::Context>>;
+  void update_servers(const std::vector<ListedServer>& list, std::vector<std::uint32_t> pool_limits,
+                      const TlsContexts& contexts);
+  [[nodiscard]] const DotClient& dot_client() const { return dot_client_; }
+  [[nodiscard]] std::vector<ConverterView> server_views() const;
 
   void send_attempt(Handle attempt, ExchangeId exchange, const Request& request,
                     double time_left_ms) override;
@@ -45,7 +45,7 @@
   void on_input(Handle connection, evbuffer* in) override;
   void on_ended(Handle connection, const char* reason) override;
 
-  std::string query_for(Handle attempt, std::uint16_t id) override;
+  std::string serialize_query(Handle attempt, std::uint16_t id) override;
   void on_dot_answer(Handle attempt, const std::string& message) override;
   void on_dot_failed(Handle attempt, maddershed::AttemptResult result) override;
 
@@ -85,7 +85,7 @@
   Connections& net_;
   Datagrams& datagrams_;
   Router& router_;
-  DotLinks links_;
+  DotClient dot_client_;
   std::random_device random_;  // the system's own source, which no answer seen before foretells
   std::map<std::string, ExchangeId> ids_;
   std::uint32_t last_id_ = 0;
--- a/src/enum/front.cpp
+++ b/src/enum/enum_frontend.cpp
@@ -1,4 +1,4 @@
-#include "enum/front.hpp"
+#include "enum/enum_frontend.hpp"
 
 #include <algorithm>
 #include <charconv>
@@ -23,8 +23,8 @@
   dns::Question at = *message.question;
   for (const auto& record : message.answers) {
     at.type = record.type;
-    at.klass = record.klass;
-    if (!at.same({record.name, record.type, record.klass})) continue;
+    at.dns_class = record.dns_class;
+    if (!at.matches({record.name, record.type, record.dns_class})) continue;
     kept.push_back(record);
     if (record.type == dns::type::cname) at.name = record.data;
   }
@@ -33,8 +33,9 @@
 
 }  // namespace
 
-EnumFront::EnumFront(Clock& clock, TimerQueue& timers, Connections& net, Datagrams& datagrams, Router& router,
-                     routes::Selector& selector, std::shared_ptr<const EnumConfig> config)
+EnumFrontend::EnumFrontend(Clock& clock, TimerQueue& timers, Connections& net, Datagrams& datagrams,
+                           Router& router, routes::Selector& selector,
+                           std::shared_ptr<const EnumConfig> config)
     : clock_(clock),
       timers_(timers),
       net_(net),
@@ -43,7 +44,7 @@
       selector_(selector),
       config_(std::move(config)) {}
 
-Address EnumFront::listen() {
+Address EnumFrontend::listen() {
   for (int tries = 1;; ++tries) {
     socket_ = datagrams_.bind(config_->listen, *this);
     try {
@@ -59,21 +60,21 @@
 
 // ---- Queries ------------------------------------------------------------------------------------------
 
-void EnumFront::on_datagram(Handle, const Address& from, const std::string& bytes) {
+void EnumFrontend::on_datagram(Handle, const Address& from, const std::string& bytes) {
   on_query({from, no_handle}, bytes);
 }
 
-void EnumFront::on_connected(Handle connection) { expect_query(connection); }
+void EnumFrontend::on_connected(Handle connection) { expect_query(connection); }
 
-void EnumFront::on_input(Handle connection, evbuffer* in) {
+void EnumFrontend::on_input(Handle connection, evbuffer* in) {
   net_.each_counted(connection, in, 2, most_query, [this, connection](const std::string& message) {
-    if (message.size() < dns::header_size) throw Unreadable{reason::malformed};
+    if (message.size() < dns::header_bytes) throw Unreadable{reason::malformed};
     expect_query(connection);
     on_query({{}, connection}, message);
   });
 }
 
-void EnumFront::expect_query(Handle connection) {
+void EnumFrontend::expect_query(Handle connection) {
   timers_.cancel(idle_[connection]);
   idle_[connection] = timers_.schedule(clock_.now_ms() + idle_connection_ms, [this, connection] {
     idle_[connection] = {};
@@ -85,7 +86,7 @@
   });
 }
 
-void EnumFront::on_ended(Handle connection, const char*) {
+void EnumFrontend::on_ended(Handle connection, const char*) {
   timers_.cancel(idle_[connection]);
   idle_.erase(connection);
   std::vector<Handle> left;
@@ -98,8 +99,8 @@
   }
 }
 
-void EnumFront::on_query(const Client& client, const std::string& bytes) {
-  const auto header = dns::read_header(bytes);
+void EnumFrontend::on_query(const Client& client, const std::string& bytes) {
+  const auto header = dns::parse_header(bytes);
   // Guards against two servers that answer each other for ever: nothing but a query is answered.
   if (!header || header->response) return;
   dns::Message bare;
@@ -107,19 +108,19 @@
   bare.opcode = header->opcode;
   bare.recursion_desired = header->recursion_desired;
   if (header->opcode != 0) return reply(client, bare, dns::rcode::not_imp);
-  auto query = dns::read_message(bytes);
+  auto query = dns::parse_message(bytes);
   if (!query || !query->question || !query->answers.empty() || !query->authority.empty()) {
     return reply(client, bare, dns::rcode::form_err);
   }
   if (query->edns && query->edns->version != 0) return reply(client, *query, dns::rcode::bad_vers);
   const auto& question = *query->question;
-  if (question.klass != dns::class_in || question.type != dns::type::naptr || door_closed_) {
+  if (question.dns_class != dns::class_in || question.type != dns::type::naptr || door_closed_) {
     return reply(client, *query, dns::rcode::refused);
   }
   open_request(client, std::move(*query));
 }
 
-std::uint16_t EnumFront::minute_of_week() {
+std::uint16_t EnumFrontend::minute_of_week() {
   constexpr double minute_ms = 60000;
   const double now = clock_.now_ms();
   if (now >= minute_until_) {
@@ -129,8 +130,8 @@
   return minute_;
 }
 
-void EnumFront::open_request(const Client& client, dns::Message query) {
-  const auto number = dns::number_of(query.question->name, config_->suffix);
+void EnumFrontend::open_request(const Client& client, dns::Message query) {
+  const auto number = dns::number_from_name(query.question->name, config_->suffix);
   if (!number || asked_.size() >= most_open) return reply(client, query, dns::rcode::refused);
   Key key{client, query.id, query.question->name};
   // A client that asks again while its request is open gets the one answer that is under way.
@@ -168,9 +169,9 @@
   asked.checking_disabled = query.checking_disabled;
   asked.question = query.question;
   asked.edns = dns::Edns{};
-  asked.edns->udp_size = dns::own_udp_size;
+  asked.edns->udp_payload_bytes = dns::advertised_udp_payload_bytes;
   asked.edns->dnssec_ok = query.edns && query.edns->dnssec_ok;
-  request.body = dns::write_message(asked);
+  request.body = dns::serialize_message(asked);
   if (client.connection != no_handle && !net_.begin_request(client.connection)) {
     gate->release();
     return reply(client, query, dns::rcode::refused);
@@ -183,7 +184,7 @@
 
 // ---- Answers --------------------------------------------------------------------------------------------
 
-std::optional<EnumFront::Asked> EnumFront::take(Handle request) {
+std::optional<EnumFrontend::Asked> EnumFrontend::take(Handle request) {
   const auto it = asked_.find(request);
   if (it == asked_.end()) return std::nullopt;
   auto asked = std::move(it->second);
@@ -194,9 +195,9 @@
   return asked;
 }
 
-void EnumFront::on_request_served(Handle request, const std::string& bytes) {
+void EnumFrontend::on_request_served(Handle request, const std::string& bytes) {
   const auto asked = take(request);
-  auto answer = dns::read_message(bytes);
+  auto answer = dns::parse_message(bytes);
   if (!asked || !answer) return;
   keep_relevant(*answer);
   // Of the authority only what makes a denial complete: the zone's SOA, and what signs it.
@@ -206,21 +207,21 @@
   write(asked->client, asked->query, std::move(*answer));
 }
 
-void EnumFront::on_request_refused(Handle request, double) {
+void EnumFrontend::on_request_refused(Handle request, double) {
   if (const auto asked = take(request)) reply(asked->client, asked->query, dns::rcode::refused);
 }
 
-void EnumFront::on_request_failed(Handle request) {
+void EnumFrontend::on_request_failed(Handle request) {
   if (const auto asked = take(request)) reply(asked->client, asked->query, dns::rcode::serv_fail);
 }
 
-void EnumFront::reply(const Client& client, const dns::Message& query, std::uint16_t rcode) {
+void EnumFrontend::reply(const Client& client, const dns::Message& query, std::uint16_t rcode) {
   dns::Message answer;
   answer.rcode = rcode;
   write(client, query, std::move(answer));
 }
 
-void EnumFront::write(const Client& client, const dns::Message& query, dns::Message answer) {
+void EnumFrontend::write(const Client& client, const dns::Message& query, dns::Message answer) {
   answer.id = query.id;
   answer.response = true;
   answer.opcode = query.opcode;
@@ -233,18 +234,18 @@
   answer.edns.reset();
   if (query.edns) {
     answer.edns = dns::Edns{};
-    answer.edns->udp_size = dns::own_udp_size;
+    answer.edns->udp_payload_bytes = dns::advertised_udp_payload_bytes;
     answer.edns->dnssec_ok = query.edns->dnssec_ok;
   }
   if (client.connection != no_handle) {
-    const auto bytes = dns::write_fitting(answer, 65535);
+    const auto bytes = dns::serialize_within(answer, 65535);
     std::string framed;
     put_big_endian(framed, bytes.size(), 2);
     net_.write(client.connection, framed + bytes);
     return;
   }
-  const std::size_t most = query.edns ? query.edns->udp_size : dns::plain_udp_size;
-  datagrams_.send_to(socket_, client.address, dns::write_fitting(answer, most));
+  const std::size_t most = query.edns ? query.edns->udp_payload_bytes : dns::default_udp_payload_bytes;
+  datagrams_.send_to(socket_, client.address, dns::serialize_within(answer, most));
 }
 
 }  // namespace heathturn
--- a/src/enum/front.hpp
+++ b/src/enum/enum_frontend.hpp
@@ -15,15 +15,15 @@
 
 namespace heathturn {
 
-class EnumFront : public Frontend, public ConnectionUser, public DatagramUser {
+class EnumFrontend : public Frontend, public ConnectionUser, public DatagramUser {
  public:
-  EnumFront(Clock& clock, TimerQueue& timers, Connections& net, Datagrams& datagrams, Router& router,
-            routes::Selector& selector, std::shared_ptr<const EnumConfig> config);
+  EnumFrontend(Clock& clock, TimerQueue& timers, Connections& net, Datagrams& datagrams, Router& router,
+               routes::Selector& selector, std::shared_ptr<const EnumConfig> config);
   /// Takes look-ups by other settings from now on; those open go on as they began.
-  void use(std::shared_ptr<const EnumConfig> config) { config_ = std::move(config); }
+  void set_config(std::shared_ptr<const EnumConfig> config) { config_ = std::move(config); }
   /// Returns where it listens.
   Address listen();
-  void close_door() { door_closed_ = true; }
+  void refuse_new_requests() { door_closed_ = true; }
 
   void on_request_served(Handle request, const std::string& answer) override;
   void on_request_refused(Handle request, double wait_ms) override;
--- a/src/enum/enum_service.cpp
+++ b/src/enum/enum_service.cpp
@@ -19,9 +19,9 @@
 
 /// TLS of each pool. One whose settings and files are the same as before goes on, with its sessions. Throws
 /// InputError naming pool and file.
-Upstreams::Contexts make_contexts(const EnumConfig& config, const std::vector<std::string>& names,
-                                  const Upstreams::Contexts& before, double now) {
-  Upstreams::Contexts out;
+EnumBackend::TlsContexts make_contexts(const EnumConfig& config, const std::vector<std::string>& names,
+                                       const EnumBackend::TlsContexts& before, double now) {
+  EnumBackend::TlsContexts out;
   for (const auto& pool : config.pools) {
     out.emplace_back();
     if (!pool.tls) continue;
@@ -51,13 +51,13 @@
       path_(std::move(path)),
       router_(program.clock(), program.timers(), config_->settings, seed),
       selector_(config_),
-      upstreams_(program.clock(), program.timers(), program.net(), program.datagrams(), router_,
-                 config_->handshakes, seed),
+      backend_(program.clock(), program.timers(), program.net(), program.datagrams(), router_,
+               config_->handshakes, seed),
       contexts_(make_contexts(*config_, {}, {}, program.clock().now_ms())),
-      front_(program.clock(), program.timers(), program.net(), program.datagrams(), router_, selector_,
-             config_),
+      frontend_(program.clock(), program.timers(), program.net(), program.datagrams(), router_, selector_,
+                config_),
       longest_ms_(config_->longest_deadline_ms) {
-  router_.set_backend(upstreams_);
+  router_.set_backend(backend_);
   router_.set_log(program.log_sink());
   for (const auto& registry : config_->registries) {
     registries_.push_back(std::make_unique<EurekaClient>(program.clock(), program.timers(),
@@ -70,7 +70,7 @@
 void EnumService::list_members() {
   const auto& pools = config_->pools;
   std::vector<std::vector<routes::PoolMember>> by_pool(pools.size());
-  std::vector<Upstreams::Listed> servers;
+  std::vector<EnumBackend::ListedServer> servers;
   std::vector<std::uint32_t> limits;
   std::set<std::string> named;
   const auto add = [&](std::uint32_t pool, const Converter& converter, double weight,
@@ -94,7 +94,7 @@
   }
   selector_.set_members(by_pool);
   for (auto& each : servers) each.converter.entry.number = selector_.exchange_number_of(each.converter.name);
-  upstreams_.update(servers, std::move(limits), contexts_);
+  backend_.update_servers(servers, std::move(limits), contexts_);
 }
 
 /// The new version is read and compared beside the loop, and taken in one turn of it, or not at all.
@@ -143,7 +143,7 @@
   contexts_ = loading.contexts;
   config_ = loading.config;
   selector_.apply_config(*loading.prepared);
-  front_.use(config_);
+  frontend_.set_config(config_);
   // What began under the old version may still take as long as that one allowed.
   longest_ms_ = std::max(longest_ms_, config_->longest_deadline_ms);
   list_members();
@@ -188,7 +188,7 @@
   warn_of_expiry();
   router_.start();
   list_members();
-  const auto own = front_.listen();
+  const auto own = frontend_.listen();
   for (const auto& registry : registries_) registry->start(own);
 }
 
@@ -200,12 +200,12 @@
     out += "enum: policy " + config_->policies[i].name + " has turned away " +
            std::to_string(gate->rejected_count()) + "\n";
   }
-  const auto& n = upstreams_.links().counts();
+  const auto& n = backend_.dot_client().counts();
   if (n.full + n.resumed + n.failed + n.deferred == 0) return out;
   out += "enum: handshakes full " + std::to_string(n.full) + ", resumed " + std::to_string(n.resumed) +
          ", declined " + std::to_string(n.declined) + ", failed " + std::to_string(n.failed) +
          ", held back " + std::to_string(n.deferred) + "\n";
-  for (const auto& [why, count] : upstreams_.links().refusals()) {
+  for (const auto& [why, count] : backend_.dot_client().tls_failures()) {
     out += "enum: " + why + " " + std::to_string(count) + "\n";
   }
   return out;
--- a/src/enum/enum_service.hpp
+++ b/src/enum/enum_service.hpp
@@ -6,8 +6,8 @@
 #include <memory>
 
 #include "config/site_diff.hpp"
-#include "enum/front.hpp"
-#include "enum/upstreams.hpp"
+#include "enum/enum_backend.hpp"
+#include "enum/enum_frontend.hpp"
 #include "eureka/client.hpp"
 #include "program.hpp"
 #include "routes/selector.hpp"
@@ -22,9 +22,9 @@
   void start() override;
   void reload(std::function<void(const std::string&)> done) override;
   [[nodiscard]] bool has_background_work() const override { return loading_ != nullptr; }
-  void refuse_new_requests() override { front_.close_door(); }
+  void refuse_new_requests() override { frontend_.refuse_new_requests(); }
   [[nodiscard]] Router& router() override { return router_; }
-  [[nodiscard]] std::vector<ConverterView> converters() const override { return upstreams_.view(); }
+  [[nodiscard]] std::vector<ConverterView> converters() const override { return backend_.server_views(); }
   [[nodiscard]] double max_request_ms() const override { return longest_ms_; }
   [[nodiscard]] std::string extra_status() const override;
   void deregister() override;
@@ -36,7 +36,7 @@
     std::atomic<bool> done{false};
     std::shared_ptr<const EnumConfig> config;
     std::shared_ptr<routes::Selector::PreparedConfig> prepared;
-    Upstreams::Contexts contexts;
+    EnumBackend::TlsContexts contexts;
     SiteDifference difference;
     std::string fault;
   };
@@ -50,9 +50,9 @@
   std::string path_;
   Router router_;
   routes::Selector selector_;
-  Upstreams upstreams_;
-  Upstreams::Contexts contexts_;  ///< of each pool
-  EnumFront front_;
+  EnumBackend backend_;
+  EnumBackend::TlsContexts contexts_;  ///< of each pool
+  EnumFrontend frontend_;
   std::vector<std::unique_ptr<EurekaClient>> registries_;
   std::shared_ptr<Loading> loading_;
   bool load_again_ = false;  ///< asked for while one was under way
--- a/tests/router/appliance_test.cpp
+++ b/tests/router/appliance_test.cpp
@@ -1,7 +1,7 @@
 // The appliance's surroundings: a Eureka registry that the tests play, and the operator's console.
 #include <sys/stat.h>
 
-#include "enum_stand_in.hpp"
+#include "enum_fixture.hpp"
 
 namespace heathturn::test {
 namespace {
@@ -42,17 +42,17 @@
 
 TEST_CASE("the list comes from a registry: ready, draining, an outage, a lost change") {
   const Registry registry;
-  const Enum e(8, registry.config(), true);
+  const EnumFixture e(8, registry.config(), true);
   auto fetch = registry.next();
   CHECK(fetch.line == "GET /eureka/apps");
   Registry::answer(fetch, 200, Registry::list(e.udp[0].address(), "UP", "UP_1_"));
   fetch = registry.next();  // the list is in force once the next fetch comes
   CHECK(fetch.line == "GET /eureka/apps/delta");
   const auto served = [&e](std::uint16_t id) {
-    e.ask(Enum::query(Enum::under("3.2.1.4.6"), id));
-    const auto asked = e.asked(0);
-    e.send(0, asked, Enum::reply(asked.message, "sip:r@example.org"));
-    return holds(e.answer(), "sip:r@example.org");
+    e.send_query(EnumFixture::query(EnumFixture::enum_name("3.2.1.4.6"), id));
+    const auto asked = e.receive_query(0);
+    e.send_reply(0, asked, EnumFixture::reply(asked.message, "sip:r@example.org"));
+    return answer_contains(e.receive_answer(), "sip:r@example.org");
   };
   CHECK(served(1));
   // An outage in three forms: the list stays.
@@ -69,22 +69,22 @@
   CHECK(served(3));
   // Draining: nothing new goes there, and what is out may end.
   fetch = registry.next();
-  e.ask(Enum::query(Enum::under("1.4.6"), 4));
-  const auto before = e.asked(0);
+  e.send_query(EnumFixture::query(EnumFixture::enum_name("1.4.6"), 4));
+  const auto before = e.receive_query(0);
   Registry::answer(fetch, 200, Registry::list(e.udp[0].address(), "OUT_OF_SERVICE", "OUT_OF_SERVICE_1_"));
   fetch = registry.next();
-  e.ask(Enum::query(Enum::under("2.4.6"), 5));
-  const auto refused = e.answer();  // at once, while the other is still open
+  e.send_query(EnumFixture::query(EnumFixture::enum_name("2.4.6"), 5));
+  const auto refused = e.receive_answer();  // at once, while the other is still open
   CHECK(refused.id == 5);
   CHECK(refused.rcode == dns::rcode::serv_fail);
   CHECK(e.udp[0].quiet(100));
-  e.send(0, before, Enum::reply(before.message, "sip:s@example.org"));
-  CHECK(e.answer().id == 4);
+  e.send_reply(0, before, EnumFixture::reply(before.message, "sip:s@example.org"));
+  CHECK(e.receive_answer().id == 4);
 }
 
 TEST_CASE("the program registers itself, keeps itself known, and takes itself off") {
   const Registry registry;
-  const Enum e(
+  const EnumFixture e(
       8, registry.config(R"(register { application: "HEATHTURN" instance: "h 1" heartbeat: "50ms" })"), true);
   std::vector<std::string> seen;
   bool leaving = false;
@@ -97,7 +97,7 @@
     seen.push_back(request.line);
     if (seen.size() == 1) {
       CHECK(request.body.find(R"("ipAddr":"127.0.0.1")") != std::string::npos);
-      CHECK(request.body.find(R"("$":)" + std::to_string(e.server.port)) != std::string::npos);
+      CHECK(request.body.find(R"("$":)" + std::to_string(e.server_address.port)) != std::string::npos);
     }
     // The first heartbeat finds a registry that has forgotten; the ones after it are welcome.
     Registry::answer(request, request.line.starts_with("PUT") ? (seen.size() == 2 ? 404 : 200) : 204);
@@ -126,12 +126,12 @@
 TEST_CASE("the console shows what is running, and drains it") {
   const TempFile at("");
   const auto path = at.path() + ".socket";
-  const Enum e(8, "", false, {"--console", path});
+  const EnumFixture e(8, "", false, {"--console", path});
   struct stat found {};
   REQUIRE(::stat(path.c_str(), &found) == 0);
   CHECK((found.st_mode & 0777) == 0600);
-  e.ask(Enum::query(Enum::under("3.2.1.4.6")));
-  const auto asked = e.asked(0);
+  e.send_query(EnumFixture::query(EnumFixture::enum_name("3.2.1.4.6")));
+  const auto asked = e.receive_query(0);
   CHECK(console(path, "status").find("enum: open 1, standing 0, offered 1,") != std::string::npos);
   CHECK(console(path, "converters").find(e.udp[0].address().text()) != std::string::npos);
   CHECK(console(path, "calls").find("3.2.1.4.6.enum.example.org") != std::string::npos);
@@ -139,8 +139,8 @@
   CHECK(console(path, "quit").empty());
   CHECK(console(path, "drain") == "draining\n");
   CHECK(console(path, "status").find("draining") != std::string::npos);
-  e.send(0, asked, Enum::reply(asked.message, "sip:t@example.org"));
-  CHECK(e.answer().id == 77);
+  e.send_reply(0, asked, EnumFixture::reply(asked.message, "sip:t@example.org"));
+  CHECK(e.receive_answer().id == 77);
   CHECK(e.program->wait() == 0);
   CHECK(console(path, "status", 1).find("no console at") != std::string::npos);
 }
--- a/tests/router/codec_test.cpp
+++ b/tests/router/codec_test.cpp
@@ -67,29 +67,29 @@
 TEST_CASE("a DNS message goes there and back") {
   auto message = naptr_answer();
   message.edns = dns::Edns{1232, 0, 0, true};
-  const auto again = dns::read_message(dns::write_message(message));
+  const auto again = dns::parse_message(dns::serialize_message(message));
   REQUIRE(again);
   CHECK(again->id == 7);
-  CHECK(again->question->same(*message.question));
+  CHECK(again->question->matches(*message.question));
   REQUIRE(again->answers.size() == 1);
   CHECK(again->answers[0].data == message.answers[0].data);
-  CHECK(again->edns->udp_size == 1232);
+  CHECK(again->edns->udp_payload_bytes == 1232);
   CHECK(again->edns->dnssec_ok);
 }
 
 TEST_CASE("no message cut short, and none with bytes left over, is taken") {
-  const auto bytes = dns::write_message(naptr_answer());
-  for (std::size_t i = 0; i < bytes.size(); ++i) CHECK_FALSE(dns::read_message(bytes.substr(0, i)));
-  CHECK(dns::read_message(bytes));
-  CHECK_FALSE(dns::read_message(bytes + "x"));
+  const auto bytes = dns::serialize_message(naptr_answer());
+  for (std::size_t i = 0; i < bytes.size(); ++i) CHECK_FALSE(dns::parse_message(bytes.substr(0, i)));
+  CHECK(dns::parse_message(bytes));
+  CHECK_FALSE(dns::parse_message(bytes + "x"));
 }
 
 TEST_CASE("compression is followed backwards only") {
-  auto bytes = dns::write_message(naptr_answer());
+  auto bytes = dns::serialize_message(naptr_answer());
   const auto owner = bytes.find(naptr_answer().question->name, 12 + 1);
   const auto length = naptr_answer().question->name.size();
   const auto with = [&](const std::string& pointer) {
-    return dns::read_message(bytes.substr(0, owner) + pointer + bytes.substr(owner + length));
+    return dns::parse_message(bytes.substr(0, owner) + pointer + bytes.substr(owner + length));
   };
   REQUIRE(with("\xc0\x0c"));
   CHECK(with("\xc0\x0c")->answers[0].name == naptr_answer().question->name);
@@ -103,18 +103,18 @@
 TEST_CASE("what does not fit is cut whole, and said to be") {
   auto message = naptr_answer();
   message.answers.resize(40, message.answers[0]);
-  const auto cut = dns::write_fitting(message, 512);
+  const auto cut = dns::serialize_within(message, 512);
   CHECK(cut.size() <= 512);
-  const auto read = dns::read_message(cut);
+  const auto read = dns::parse_message(cut);
   REQUIRE(read);
   CHECK(read->truncated);
   CHECK(read->answers.empty());
-  CHECK_FALSE(dns::read_message(dns::write_fitting(message, 65535))->truncated);
+  CHECK_FALSE(dns::parse_message(dns::serialize_within(message, 65535))->truncated);
 }
 
 TEST_CASE("a name under the suffix is a number, digit by digit") {
   const auto number = [](const std::string& text) {
-    return dns::number_of(*dns::name_from_text(text), "enum.example.org").value_or("none");
+    return dns::number_from_name(*dns::name_from_text(text), "enum.example.org").value_or("none");
   };
   CHECK(number("3.2.1.4.6.ENUM.example.org") == "64123");
   CHECK(number("enum.example.org") == "none");
--- a/tests/router/enum_stand_in.hpp
+++ b/tests/router/enum_fixture.hpp
@@ -10,15 +10,15 @@
 inline constexpr int deadline_ms = 1500;
 
 /// Two name servers that the tests play: numbers under 64 go to the first, all others to the second.
-struct Enum {
+struct EnumFixture {
   std::vector<Socket> udp, tcp;
   std::unique_ptr<TempFile> file;
   std::unique_ptr<Process> program;
-  Address server;
+  Address server_address;
   Socket resolver = Socket::bound(SOCK_DGRAM);
 
-  explicit Enum(int lookups = 8, const std::string& more = "", bool only_eureka = false,
-                const std::vector<std::string>& arguments = {}) {
+  explicit EnumFixture(int lookups = 8, const std::string& more = "", bool only_eureka = false,
+                       const std::vector<std::string>& arguments = {}) {
     bind();
     std::string pools;
     for (std::size_t i = 0; i < 2; ++i) {
@@ -29,12 +29,12 @@
                                   "\" most_requests: " + std::to_string(lookups) + " }") +
                " }\n";
     }
-    start(front() + pools + more + routes("pool0", "pool1"), arguments);
+    start(site_header() + pools + more + routes("pool0", "pool1"), arguments);
   }
   /// With a site of the test's own; `$0` and `$1` stand for the addresses of the name servers.
-  explicit Enum(const std::string& text, const std::vector<std::string>& arguments = {}) {
+  explicit EnumFixture(const std::string& text, const std::vector<std::string>& arguments = {}) {
     bind();
-    start(front() + with_addresses(text), arguments);
+    start(site_header() + with_addresses(text), arguments);
   }
   [[nodiscard]] std::string with_addresses(std::string text) const {
     for (std::size_t i = 0; i < 2; ++i) {
@@ -57,9 +57,9 @@
     std::vector<std::string> words = {"serve", "--site", file->path()};
     words.insert(words.end(), arguments.begin(), arguments.end());
     program = std::make_unique<Process>(words);
-    server = program->listening("resolver");
+    server_address = program->listening("resolver");
   }
-  static std::string front() {
+  static std::string site_header() {
     return "listen: \"127.0.0.1:0\"\nsuffix: \"enum.example.org\"\ndecisions { attempts: 3 }\n"
            "class { name: \"a\" aim: \"1s\" give_up: \"1500ms\" }\n";
   }
@@ -78,24 +78,26 @@
     out.question = dns::Question{*dns::name_from_text(name), dns::type::naptr, 1};
     return out;
   }
-  static std::string under(const std::string& labels) { return labels + ".enum.example.org"; }
-  void ask(const dns::Message& message) const { resolver.send_to(server, dns::write_message(message)); }
-  [[nodiscard]] dns::Message answer() const {
-    const auto message = dns::read_message(resolver.receive());
+  static std::string enum_name(const std::string& labels) { return labels + ".enum.example.org"; }
+  void send_query(const dns::Message& message) const {
+    resolver.send_to(server_address, dns::serialize_message(message));
+  }
+  [[nodiscard]] dns::Message receive_answer() const {
+    const auto message = dns::parse_message(resolver.receive());
     REQUIRE(message);
     return *message;
   }
-  dns::Message exchange(const dns::Message& message) const {
-    ask(message);
-    return answer();
+  dns::Message resolve(const dns::Message& message) const {
+    send_query(message);
+    return receive_answer();
   }
-  struct Asked {
+  struct ReceivedQuery {
     dns::Message message;
     Address from;
   };
-  [[nodiscard]] Asked asked(std::size_t which) const {
-    Asked out;
-    const auto message = dns::read_message(udp[which].receive(&out.from));
+  [[nodiscard]] ReceivedQuery receive_query(std::size_t which) const {
+    ReceivedQuery out;
+    const auto message = dns::parse_message(udp[which].receive(&out.from));
     REQUIRE(message);
     out.message = *message;
     return out;
@@ -113,12 +115,12 @@
     for (std::size_t i = 0; i < records; ++i) out.answers.push_back(naptr(query, uri));
     return out;
   }
-  void send(std::size_t which, const Asked& to, const dns::Message& message) const {
-    udp[which].send_to(to.from, dns::write_message(message));
+  void send_reply(std::size_t which, const ReceivedQuery& to, const dns::Message& message) const {
+    udp[which].send_to(to.from, dns::serialize_message(message));
   }
 };
 
-inline bool holds(const dns::Message& message, const std::string& text) {
+inline bool answer_contains(const dns::Message& message, const std::string& text) {
   return !message.answers.empty() && message.answers[0].data.find(text) != std::string::npos;
 }
 
--- a/tests/router/site_test.cpp
+++ b/tests/router/site_test.cpp
@@ -5,7 +5,7 @@
 #include <set>
 #include <sstream>
 
-#include "enum_stand_in.hpp"
+#include "enum_fixture.hpp"
 
 namespace heathturn::test {
 namespace {
@@ -15,40 +15,41 @@
     "pool { name: \"q\" member { name: \"n1\" address: \"$1\" } }\n";
 
 /// Which of the two name servers is asked next; its query is answered.
-std::size_t serve_one(const Enum& e, const std::string& uri = "sip:a@example.org") {
+std::size_t serve_one(const EnumFixture& e, const std::string& uri = "sip:a@example.org") {
   pollfd both[2] = {{e.udp[0].descriptor(), POLLIN, 0}, {e.udp[1].descriptor(), POLLIN, 0}};
   REQUIRE(::poll(both, 2, patience_ms) > 0);
   const std::size_t which = (both[0].revents & POLLIN) != 0 ? 0 : 1;
-  const auto asked = e.asked(which);
-  e.send(which, asked, Enum::reply(asked.message, uri));
+  const auto asked = e.receive_query(which);
+  e.send_reply(which, asked, EnumFixture::reply(asked.message, uri));
   return which;
 }
 
 TEST_CASE("the shares of a route hold on the wire, look-up by look-up") {
-  const Enum e(two_pools + "route { to { pool: \"p\" share: \"70%\" } to { pool: \"q\" share: \"30%\" } }\n");
+  const EnumFixture e(two_pools +
+                      "route { to { pool: \"p\" share: \"70%\" } to { pool: \"q\" share: \"30%\" } }\n");
   int counts[2] = {0, 0};
   for (std::uint16_t id = 1; id <= 100; ++id) {
-    e.ask(Enum::query(Enum::under(std::to_string(id % 10) + ".1"), id));
+    e.send_query(EnumFixture::query(EnumFixture::enum_name(std::to_string(id % 10) + ".1"), id));
     ++counts[serve_one(e)];
-    CHECK(e.answer().id == id);
+    CHECK(e.receive_answer().id == id);
     CHECK(std::abs(counts[0] - 0.7 * id) < 1);
   }
   CHECK(counts[0] == 70);
 }
 
 TEST_CASE("a tenant is told by its address, over UDP and TCP, and goes by its own route") {
-  const Enum e(two_pools +
-               "tenant { name: \"tui\" network: \"127.0.0.2/32\" }\n"
-               "route { tenant: \"tui\" to { pool: \"q\" } }\nroute { to { pool: \"p\" } }\n");
+  const EnumFixture e(two_pools +
+                      "tenant { name: \"tui\" network: \"127.0.0.2/32\" }\n"
+                      "route { tenant: \"tui\" to { pool: \"q\" } }\nroute { to { pool: \"p\" } }\n");
   const auto tui = Socket::bound(SOCK_DGRAM, 0x7f000002);
-  tui.send_to(e.server, dns::write_message(Enum::query(Enum::under("1.4"), 5)));
+  tui.send_to(e.server_address, dns::serialize_message(EnumFixture::query(EnumFixture::enum_name("1.4"), 5)));
   CHECK(serve_one(e) == 1);
-  CHECK(dns::read_message(tui.receive())->id == 5);
-  e.ask(Enum::query(Enum::under("1.4"), 6));
+  CHECK(dns::parse_message(tui.receive())->id == 5);
+  e.send_query(EnumFixture::query(EnumFixture::enum_name("1.4"), 6));
   CHECK(serve_one(e) == 0);
-  CHECK(e.answer().id == 6);
-  auto line = Socket::connect(e.server);  // from 127.0.0.1
-  const auto bytes = dns::write_message(Enum::query(Enum::under("1.4"), 7));
+  CHECK(e.receive_answer().id == 6);
+  auto line = Socket::connect(e.server_address);  // from 127.0.0.1
+  const auto bytes = dns::serialize_message(EnumFixture::query(EnumFixture::enum_name("1.4"), 7));
   std::string framed;
   put_big_endian(framed, bytes.size(), 2);
   line.write(framed + bytes);
@@ -57,59 +58,60 @@
 }
 
 TEST_CASE("a policy's limits at the door, its attempts and its wait") {
-  const Enum e(two_pools +
-               "policy { name: \"one\" most_open: 1 attempts: 1 }\n"
-               "policy { name: \"patient\" attempts: 2 retry_wait: \"300ms\" }\n"
-               "route { prefix: \"1\" to { pool: \"p\" } to { pool: \"q\" } policy: \"one\" }\n"
-               "route { prefix: \"2\" to { pool: \"p\" } to { pool: \"q\" } policy: \"patient\" }\n");
-  e.ask(Enum::query(Enum::under("1.1"), 1));
-  const auto first = e.asked(0);
-  e.ask(Enum::query(Enum::under("2.1"), 2));
-  const auto refused = e.answer();  // at once: the other is still open
+  const EnumFixture e(two_pools +
+                      "policy { name: \"one\" most_open: 1 attempts: 1 }\n"
+                      "policy { name: \"patient\" attempts: 2 retry_wait: \"300ms\" }\n"
+                      "route { prefix: \"1\" to { pool: \"p\" } to { pool: \"q\" } policy: \"one\" }\n"
+                      "route { prefix: \"2\" to { pool: \"p\" } to { pool: \"q\" } policy: \"patient\" }\n");
+  e.send_query(EnumFixture::query(EnumFixture::enum_name("1.1"), 1));
+  const auto first = e.receive_query(0);
+  e.send_query(EnumFixture::query(EnumFixture::enum_name("2.1"), 2));
+  const auto refused = e.receive_answer();  // at once: the other is still open
   CHECK(refused.id == 2);
   CHECK(refused.rcode == dns::rcode::refused);
-  auto fault = Enum::reply(first.message, "", 0);
+  auto fault = EnumFixture::reply(first.message, "", 0);
   fault.rcode = dns::rcode::serv_fail;
-  e.send(0, first, fault);
-  CHECK(e.answer().id == 1);  // one attempt, and no other
+  e.send_reply(0, first, fault);
+  CHECK(e.receive_answer().id == 1);  // one attempt, and no other
   CHECK(e.udp[1].quiet(50));
-  e.ask(Enum::query(Enum::under("1.2"), 3));
-  const auto again = e.asked(0);
+  e.send_query(EnumFixture::query(EnumFixture::enum_name("1.2"), 3));
+  const auto again = e.receive_query(0);
   const double from = now_ms();
-  fault = Enum::reply(again.message, "", 0);
+  fault = EnumFixture::reply(again.message, "", 0);
   fault.rcode = dns::rcode::serv_fail;
-  e.send(0, again, fault);
+  e.send_reply(0, again, fault);
   serve_one(e);
   CHECK(now_ms() - from > 290);
-  CHECK(e.answer().rcode == dns::rcode::no_error);
+  CHECK(e.receive_answer().rcode == dns::rcode::no_error);
 }
 
 TEST_CASE("where nothing is in service, the answer comes at once") {
   const Socket registry = Socket::bound(SOCK_STREAM);
-  const Enum e("registry { name: \"r\" address: \"" + registry.address().text() +
-               "\" }\npool { name: \"p\" from_registry { registry: \"r\" application: \"x\" } }\nroute { to "
-               "{ pool: \"p\" } }\n");
+  const EnumFixture e(
+      "registry { name: \"r\" address: \"" + registry.address().text() +
+      "\" }\npool { name: \"p\" from_registry { registry: \"r\" application: \"x\" } }\nroute { to "
+      "{ pool: \"p\" } }\n");
   const double from = now_ms();
-  CHECK(e.exchange(Enum::query(Enum::under("1.1"))).rcode == dns::rcode::serv_fail);
+  CHECK(e.resolve(EnumFixture::query(EnumFixture::enum_name("1.1"))).rcode == dns::rcode::serv_fail);
   CHECK(now_ms() - from < deadline_ms / 2);
 }
 
 TEST_CASE("reloads under load: good and broken versions by turns, and every look-up has its answer") {
   const std::string routes[2] = {"route { to { pool: \"p\" } to { pool: \"q\" } }\n",
                                  "route { to { pool: \"q\" } to { pool: \"p\" } }\n"};
-  const Enum e(two_pools + routes[0]);
+  const EnumFixture e(two_pools + routes[0]);
   const auto text = [&](const std::string& rest) {
-    return Enum::front() + e.with_addresses(two_pools + rest);
+    return EnumFixture::site_header() + e.with_addresses(two_pools + rest);
   };
   std::uint16_t id = 0;
   std::set<std::uint16_t> open;
   const auto load = [&](int count) {
     for (int i = 0; i < count; ++i) {
-      e.ask(Enum::query(Enum::under(std::to_string(i % 10) + ".1"), ++id));
+      e.send_query(EnumFixture::query(EnumFixture::enum_name(std::to_string(i % 10) + ".1"), ++id));
       open.insert(id);
       serve_one(e);
       if (!readable(e.resolver.descriptor(), 0)) continue;
-      const auto answer = e.answer();
+      const auto answer = e.receive_answer();
       CHECK(answer.rcode == dns::rcode::no_error);
       CHECK(open.erase(answer.id) == 1);
     }
@@ -128,10 +130,10 @@
       e.program->log("event=configuration_taken front=enum");
     }
   }
-  while (!open.empty()) CHECK(open.erase(e.answer().id) == 1);
-  e.ask(Enum::query(Enum::under("1.1"), ++id));
+  while (!open.empty()) CHECK(open.erase(e.receive_answer().id) == 1);
+  e.send_query(EnumFixture::query(EnumFixture::enum_name("1.1"), ++id));
   CHECK(serve_one(e) == 1);  // by the last good version
-  CHECK(e.answer().id == id);
+  CHECK(e.receive_answer().id == id);
 }
 
 TEST_CASE(
@@ -139,55 +141,55 @@
   const std::string policy = "policy { name: \"default\" deadline: \"1500ms\" }\n",
                     short_one = "policy { name: \"default\" deadline: \"200ms\" }\n";
   const std::string route = "route { to { pool: \"p\" } }\nroute { prefix: \"9\" to { pool: \"q\" } }\n";
-  const Enum e(two_pools + policy + route);
+  const EnumFixture e(two_pools + policy + route);
   const double from = now_ms();
-  e.ask(Enum::query(Enum::under("1.1"), 1));
-  const auto open = e.asked(0);
-  e.file->write(Enum::front() + e.with_addresses(two_pools + short_one + route));
+  e.send_query(EnumFixture::query(EnumFixture::enum_name("1.1"), 1));
+  const auto open = e.receive_query(0);
+  e.file->write(EnumFixture::site_header() + e.with_addresses(two_pools + short_one + route));
   e.program->signal(SIGHUP);
   e.program->log("policy default: deadline 200ms, was 1.5s");
   e.program->log("event=configuration_taken");
-  e.ask(Enum::query(Enum::under("2.9"), 2));
-  (void)e.asked(1);
-  const auto late = e.answer();
+  e.send_query(EnumFixture::query(EnumFixture::enum_name("2.9"), 2));
+  (void)e.receive_query(1);
+  const auto late = e.receive_answer();
   CHECK(late.id == 2);
   CHECK(late.rcode != dns::rcode::no_error);
   CHECK(e.resolver.quiet(std::max(0, static_cast<int>(300 - (now_ms() - from)))));
-  e.send(0, open, Enum::reply(open.message, "sip:late@example.org"));
+  e.send_reply(0, open, EnumFixture::reply(open.message, "sip:late@example.org"));
   // The module may have given up that attempt by now, and made another.
   while (!readable(e.resolver.descriptor(), 20)) {
     if (!readable(e.udp[0].descriptor(), 0)) continue;
-    const auto more = e.asked(0);
-    e.send(0, more, Enum::reply(more.message, "sip:late@example.org"));
+    const auto more = e.receive_query(0);
+    e.send_reply(0, more, EnumFixture::reply(more.message, "sip:late@example.org"));
   }
-  const auto last = e.answer();
+  const auto last = e.receive_answer();
   CHECK(last.id == 1);
-  CHECK(holds(last, "sip:late@example.org"));
+  CHECK(answer_contains(last, "sip:late@example.org"));
   // The console's path, and with it nothing else of the file.
-  auto text = Enum::front() + e.with_addresses(two_pools + policy + route);
+  auto text = EnumFixture::site_header() + e.with_addresses(two_pools + policy + route);
   e.file->write("console: \"/tmp/none.socket\"\n" + text);
   e.program->signal(SIGHUP);
   CHECK(e.program->log("event=configuration_kept")
             .find("it takes a restart, and nothing of the file is taken") != std::string::npos);
-  e.ask(Enum::query(Enum::under("3.9"), 3));
+  e.send_query(EnumFixture::query(EnumFixture::enum_name("3.9"), 3));
   const double again = now_ms();
-  CHECK(e.answer().id == 3);
+  CHECK(e.receive_answer().id == 3);
   CHECK(now_ms() - again < 1000);  // still within 200 ms of its own
 }
 
 // ---- The log --------------------------------------------------------------------------------------------
 
 TEST_CASE("a log that nobody reads stalls no look-up; what was lost is counted and told once it is read") {
-  const Enum e(two_pools + "route { to { pool: \"p\" } }\n");
+  const EnumFixture e(two_pools + "route { to { pool: \"p\" } }\n");
   const auto look_up = [&e](std::uint16_t id) {
-    e.ask(Enum::query(Enum::under("1.1"), id));
-    const auto asked = e.asked(0);
-    e.send(0, asked, Enum::reply(asked.message, "sip:a@example.org"));
-    CHECK(e.answer().id == id);
+    e.send_query(EnumFixture::query(EnumFixture::enum_name("1.1"), id));
+    const auto asked = e.receive_query(0);
+    e.send_reply(0, asked, EnumFixture::reply(asked.message, "sip:a@example.org"));
+    CHECK(e.receive_answer().id == id);
   };
   // Each connection that ends leaves a line of about 150 bytes: more than pipe and queue hold.
   for (std::uint16_t i = 0; i < 4000; ++i) {
-    Socket::connect(e.server).close();
+    Socket::connect(e.server_address).close();
     if (i % 200 == 0) look_up(i);
   }
   look_up(5000);
@@ -197,8 +199,8 @@
 }
 
 TEST_CASE("with a log that nobody reads the program still ends as asked") {
-  const Enum e(two_pools + "route { to { pool: \"p\" } }\n");
-  for (int i = 0; i < 4000; ++i) Socket::connect(e.server).close();
+  const EnumFixture e(two_pools + "route { to { pool: \"p\" } }\n");
+  for (int i = 0; i < 4000; ++i) Socket::connect(e.server_address).close();
   e.program->signal(SIGTERM);
   CHECK(e.program->wait_unread() == 0);
 }
--- a/tests/router/tls_stand_in.hpp
+++ b/tests/router/tls_stand_in.hpp
@@ -15,7 +15,7 @@
 #include <mutex>
 #include <thread>
 
-#include "enum_stand_in.hpp"
+#include "enum_fixture.hpp"
 #include "net/tls/context.hpp"
 
 namespace heathturn::test {
@@ -268,10 +268,10 @@
       }
       while (input.size() >= 2 && input.size() >= 2 + big_endian(input, 0, 2)) {
         const auto length = static_cast<std::size_t>(big_endian(input, 0, 2));
-        const auto query = dns::read_message(input.substr(2, length));
+        const auto query = dns::parse_message(input.substr(2, length));
         input.erase(0, 2 + length);
         if (!query) return;
-        const auto bytes = dns::write_message(Enum::reply(*query, behaviour_.uri));
+        const auto bytes = dns::serialize_message(EnumFixture::reply(*query, behaviour_.uri));
         std::string framed;
         put_big_endian(framed, bytes.size(), 2);
         framed += bytes;
--- a/tests/router/tls_test.cpp
+++ b/tests/router/tls_test.cpp
@@ -47,10 +47,11 @@
     "pool { name: \"q\" member { name: \"plain\" address: \"$0\" } }\nroute { to { pool: \"p\" } to { pool: "
     "\"q\" } }\n";
 
-bool served(const Enum& e, std::uint16_t id, const std::string& uri = "sip:tls@example.org") {
-  const auto answer = e.exchange(Enum::query(Enum::under(std::to_string(id % 10) + ".1"), id));
+bool served(const EnumFixture& e, std::uint16_t id, const std::string& uri = "sip:tls@example.org") {
+  const auto answer =
+      e.resolve(EnumFixture::query(EnumFixture::enum_name(std::to_string(id % 10) + ".1"), id));
   CHECK(answer.id == id);
-  return holds(answer, uri);
+  return answer_contains(answer, uri);
 }
 
 TEST_CASE("look-ups go over one verified connection, by address, by name, with ALPN and with a pin") {
@@ -68,13 +69,13 @@
         "pin: \"" + pin + "\" pin: \"sha256/AAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAA=\""}) {
     INFO(more);
     TlsServer server(own, {.alpn = "dot"});
-    const Enum e(tls_pool(server.address(), trusting(files, more)) + to_p);
+    const EnumFixture e(tls_pool(server.address(), trusting(files, more)) + to_p);
     for (std::uint16_t id = 1; id <= 10; ++id) CHECK(served(e, id));
     CHECK(server.connections == 1);
     CHECK(server.answered == 10);
   }
   TlsServer old(own, {.highest = TLS1_2_VERSION});
-  const Enum e(tls_pool(old.address(), trusting(files)) + to_p);
+  const EnumFixture e(tls_pool(old.address(), trusting(files)) + to_p);
   CHECK(served(e, 1));
 }
 
@@ -110,11 +111,11 @@
   for (const auto& each : cases) {
     INFO(each.reason);
     TlsServer server(each.own, each.behaviour);
-    const Enum e(tls_pool(server.address(), trusting(files, each.more)) + p_then_plain);
-    e.ask(Enum::query(Enum::under("1.1"), 9));
-    const auto asked = e.asked(0);
-    e.send(0, asked, Enum::reply(asked.message, "sip:plain@example.org"));
-    CHECK(holds(e.answer(), "sip:plain@example.org"));
+    const EnumFixture e(tls_pool(server.address(), trusting(files, each.more)) + p_then_plain);
+    e.send_query(EnumFixture::query(EnumFixture::enum_name("1.1"), 9));
+    const auto asked = e.receive_query(0);
+    e.send_reply(0, asked, EnumFixture::reply(asked.message, "sip:plain@example.org"));
+    CHECK(answer_contains(e.receive_answer(), "sip:plain@example.org"));
     const auto line = e.program->log(std::string("event=tls_refused converter=secure peer=") +
                                      server.address().text() + " reason=" + each.reason);
     if (each.behaviour.cut_after == 0 && each.behaviour.highest == TLS1_3_VERSION) {
@@ -129,17 +130,17 @@
   const Files files;
   {
     const auto listener = Socket::bound(SOCK_STREAM);
-    const Enum e(tls_pool(listener.address(), trusting(files)) + p_then_plain);
-    e.ask(Enum::query(Enum::under("1.1"), 9));
+    const EnumFixture e(tls_pool(listener.address(), trusting(files)) + p_then_plain);
+    e.send_query(EnumFixture::query(EnumFixture::enum_name("1.1"), 9));
     const auto plain = listener.accept();
     plain.write("HTTP/1.1 400 Bad Request\r\n\r\n");
     e.program->log("reason=tls_plain_text");
   }
   const auto listener = Socket::bound(SOCK_STREAM);
-  const Enum e(
+  const EnumFixture e(
       tls_pool(listener.address(), trusting(files, "").replace(trusting(files).find("1s"), 2, "100ms")) +
       p_then_plain);
-  e.ask(Enum::query(Enum::under("1.1"), 9));
+  e.send_query(EnumFixture::query(EnumFixture::enum_name("1.1"), 9));
   const auto silent = listener.accept();
   e.program->log("reason=tls_stalled");
 }
@@ -151,11 +152,11 @@
   for (std::size_t bytes = 1; bytes < 640; bytes += bytes < 8 ? 1 : 149) {
     INFO(bytes);
     TlsServer server(own, {.cut_after = bytes});
-    const Enum e(tls_pool(server.address(), trusting(files)) + p_then_plain);
-    e.ask(Enum::query(Enum::under("1.1"), 9));
-    const auto asked = e.asked(0);
-    e.send(0, asked, Enum::reply(asked.message, "sip:plain@example.org"));
-    CHECK(holds(e.answer(), "sip:plain@example.org"));
+    const EnumFixture e(tls_pool(server.address(), trusting(files)) + p_then_plain);
+    e.send_query(EnumFixture::query(EnumFixture::enum_name("1.1"), 9));
+    const auto asked = e.receive_query(0);
+    e.send_reply(0, asked, EnumFixture::reply(asked.message, "sip:plain@example.org"));
+    CHECK(answer_contains(e.receive_answer(), "sip:plain@example.org"));
     CHECK(server.answered == 0);
   }
 }
@@ -166,7 +167,7 @@
   for (const int version : {TLS1_2_VERSION, TLS1_3_VERSION}) {
     INFO(version);
     TlsServer server(own, {.highest = version, .close_after_one = true});
-    const Enum e(tls_pool(server.address(), trusting(files)) + to_p);
+    const EnumFixture e(tls_pool(server.address(), trusting(files)) + to_p);
     for (std::uint16_t id = 1; id <= 4; ++id) {
       CHECK(served(e, id));
       e.program->log("event=connection_ended side=upstream");
@@ -181,7 +182,8 @@
     e.program->log("event=connection_ended side=upstream");
     CHECK(server.resumed == 4);
     // Another server has come to the address: nothing of the old one is shown to it.
-    e.file->write(Enum::front() + tls_pool(server.address(), trusting(files), "successor") + to_p);
+    e.file->write(EnumFixture::site_header() + tls_pool(server.address(), trusting(files), "successor") +
+                  to_p);
     e.program->signal(SIGHUP);
     e.program->log("event=configuration_taken");
     CHECK(served(e, 7));
@@ -202,7 +204,7 @@
   const auto mutual = "certificate: \"" + certificate + "\" key: \"" + key + "\"";
   TlsServer server(issue(Wanted{}, &files.root), {.client_trust = files.trust});
   {
-    const Enum e(tls_pool(server.address(), trusting(files, mutual)) + to_p);
+    const EnumFixture e(tls_pool(server.address(), trusting(files, mutual)) + to_p);
     CHECK(served(e, 1));
     // Under load: another good set is taken, a bad one changes nothing, and no look-up is lost.
     wanted.key = ec_key();
@@ -225,12 +227,12 @@
     CHECK(served(e, 31));
   }
   {
-    const Enum e(tls_pool(server.address(), trusting(files)) + p_then_plain);
-    e.ask(Enum::query(Enum::under("1.1"), 9));
+    const EnumFixture e(tls_pool(server.address(), trusting(files)) + p_then_plain);
+    e.send_query(EnumFixture::query(EnumFixture::enum_name("1.1"), 9));
     e.program->log("reason=tls_alert");
   }
   const auto starts = [&](const std::string& tls) {
-    const TempFile file(Enum::front() + tls_pool(server.address(), tls) + to_p);
+    const TempFile file(EnumFixture::site_header() + tls_pool(server.address(), tls) + to_p);
     Process program({"serve", "--site", file.path()});
     const auto said = program.rest();
     CHECK(program.wait() == 1);
@@ -260,7 +262,7 @@
   };
   {
     TlsServer server(issue(Wanted{}, &files.root), {.close_after_one = true});
-    const Enum e(tls_pool(server.address(), trusting(files)) + to_p, {"--console", path});
+    const EnumFixture e(tls_pool(server.address(), trusting(files)) + to_p, {"--console", path});
     for (std::uint16_t id = 1; id <= 3; ++id) {
       CHECK(served(e, id));
       e.program->log("event=connection_ended side=upstream");
@@ -268,8 +270,8 @@
     CHECK(status().find("enum: handshakes full 1, resumed 2, declined 0, failed 0") != std::string::npos);
   }
   TlsServer wrong(issue(Wanted{}), {});
-  const Enum e(tls_pool(wrong.address(), trusting(files)) + p_then_plain, {"--console", path});
-  e.ask(Enum::query(Enum::under("1.1"), 9));
+  const EnumFixture e(tls_pool(wrong.address(), trusting(files)) + p_then_plain, {"--console", path});
+  e.send_query(EnumFixture::query(EnumFixture::enum_name("1.1"), 9));
   e.program->log("event=tls_refused");
   CHECK(status().find("enum: tls_self_signed ") != std::string::npos);
 }
@@ -278,7 +280,7 @@
   const Files files;
   TlsServer server(issue(Wanted{}), {});
   const std::string tls = "verification: \"none\"";
-  const Enum e(tls_pool(server.address(), tls) + to_p);
+  const EnumFixture e(tls_pool(server.address(), tls) + to_p);
   CHECK(served(e, 1));
   Process check({"config", "check", e.file->path()});
   CHECK(check.rest().find("warning: pool.p.tls.verification: certificates are not verified") !=
@@ -288,7 +290,7 @@
 TEST_CASE("connections of more than a set age are moved over, and no look-up notices") {
   const Files files;
   TlsServer server(issue(Wanted{}, &files.root), {});
-  const Enum e(tls_pool(server.address(), trusting(files, "most_age: \"1s\"")) + to_p);
+  const EnumFixture e(tls_pool(server.address(), trusting(files, "most_age: \"1s\"")) + to_p);
   std::uint16_t id = 0;
   for (const double from = now_ms(); now_ms() - from < 2500;) CHECK(served(e, ++id));
   CHECK(server.connections >= 2);
