--- a/src/platform/caller_frontend.cpp
+++ b/src/platform/caller_frontend.cpp
@@ -9,22 +9,22 @@
 namespace heathturn {
 namespace {
 
-constexpr double words_under_way_ms = 60000;
-constexpr std::size_t most_ended = 16384;  // of which words may be under way
-constexpr double strays_a_second = 200;    // releases of calls unknown here that are passed on
-constexpr double quiet_test_ms = 50;
-constexpr double turned_away_wait_ms = 1000;  // told to who comes while the process ends, or asks too much
-constexpr double first_message_ms = 2000;     // a caller that says nothing is let go of within 3 s
-constexpr std::size_t most_requests = 256;    // open on one connection
-constexpr std::uint32_t most_junk = 16;       // set-ups of a connection that could not be used
-constexpr std::size_t most_unsaid = 4096;
-constexpr double confirm_wait_ms = 250;  // a caller must hear of the end of its call within 1 s
-constexpr int most_releases = 3;         // of one call, each on another connection
-constexpr double left_slack_ms = 1000;
-constexpr double most_circuits = 64;
-
-/// Nothing when it is not a number of 1 to 16 hexadecimal digits.
-std::optional<std::uint64_t> number_called(const std::string& key) {
+constexpr double ended_call_retention_ms = 60000;
+constexpr std::size_t max_ended_calls = 16384;
+constexpr double max_unknown_releases_per_second = 200;
+constexpr double quiet_period_ms = 50;
+constexpr double refused_retry_after_ms = 1000;
+constexpr double first_message_timeout_ms = 2000;  // silent callers must be disconnected within 3 s
+constexpr std::size_t max_requests_per_connection = 256;
+constexpr std::uint32_t max_invalid_offers = 16;  // per connection
+constexpr std::size_t max_queued_releases = 4096;
+constexpr double release_ack_timeout_ms = 250;  // a caller must learn of the end of its call within 1 s
+constexpr int max_release_transmissions = 3;    // per call, each on another connection if there is one
+constexpr double time_left_slack_ms = 1000;
+constexpr double max_circuits_per_call = 64;
+
+/// Nothing unless the key is a number of 1 to 16 hexadecimal digits.
+std::optional<std::uint64_t> parse_called_number(const std::string& key) {
   std::uint64_t value = 0;
   const char* end = key.data() + key.size();
   const auto [stop, error] = std::from_chars(key.data(), end, value, 16);
@@ -34,11 +34,12 @@
 
 }  // namespace
 
-void RecentlyEndedCalls::add(const std::string& call, double now) {
-  if (calls_.insert(call).second) order_.emplace_back(now, call);
-  while (!order_.empty() && (now - order_.front().first > words_under_way_ms || order_.size() > most_ended)) {
-    calls_.erase(order_.front().second);
-    order_.pop_front();
+void RecentlyEndedCalls::add(const std::string& call_id, double now_ms) {
+  if (call_ids_.insert(call_id).second) by_end_time_.emplace_back(now_ms, call_id);
+  while (!by_end_time_.empty() && (now_ms - by_end_time_.front().first > ended_call_retention_ms ||
+                                   by_end_time_.size() > max_ended_calls)) {
+    call_ids_.erase(by_end_time_.front().second);
+    by_end_time_.pop_front();
   }
 }
 
@@ -46,33 +47,36 @@
                                const Config& config)
     : clock_(clock), timers_(timers), net_(net), router_(router), config_(config) {}
 
-void CallerFrontend::listen() { listener_ = net_.listen(config_.listen, *this, "caller", bounds()); }
+void CallerFrontend::listen() { listener_ = net_.listen(config_.listen, *this, "caller", listener_limits()); }
 
-Connections::Bounds CallerFrontend::bounds() const {
-  return {
-      .connections = config_.sockets / 2, .requests = most_requests, .first_message_ms = first_message_ms};
+Connections::Bounds CallerFrontend::listener_limits() const {
+  return {.connections = config_.sockets / 2,
+          .requests = max_requests_per_connection,
+          .first_message_ms = first_message_timeout_ms};
 }
 
 // ---- Connections ----------------------------------------------------------------------------------------
 
-/// Guards against releases lost on the connection of a test, whose other end looks for nothing else and
-/// closes at once: a connection carries releases once it has brought a call, or has been quiet for a while.
+/// A connection opened for a readiness test is closed by its peer right after the reply, and a release sent
+/// on it would be abandoned. Releases are therefore sent only on connections that carried a request or were
+/// quiet for a while after they were opened.
 void CallerFrontend::on_connected(Handle connection) {
-  lines_[connection] = {};
-  timers_.schedule(clock_.now_ms() + quiet_test_ms, [this, connection] {
-    const auto it = lines_.find(connection);
-    if (it != lines_.end() && it->second.turn == 0) know(connection, Line::Known::quiet);
+  connections_[connection] = {};
+  timers_.schedule(clock_.now_ms() + quiet_period_ms, [this, connection] {
+    const auto it = connections_.find(connection);
+    if (it != connections_.end() && it->second.last_message_sequence == 0)
+      raise_release_rank(connection, ConnectionState::ReleaseRank::quiet);
   });
 }
 
-void CallerFrontend::know(Handle connection, Line::Known known) {
-  const auto it = lines_.find(connection);
-  if (it == lines_.end()) return;
-  const bool first = it->second.known == Line::Known::nothing;
-  it->second.known = std::max(it->second.known, known);
-  if (!first) return;
-  for (auto& [call, line] : std::exchange(unsaid_, {}))
-    send_release(call, std::move(line), connection, no_handle, 0);
+void CallerFrontend::raise_release_rank(Handle connection, ConnectionState::ReleaseRank release_rank) {
+  const auto it = connections_.find(connection);
+  if (it == connections_.end()) return;
+  const bool was_ineligible = it->second.release_rank == ConnectionState::ReleaseRank::ineligible;
+  it->second.release_rank = std::max(it->second.release_rank, release_rank);
+  if (!was_ineligible) return;
+  for (auto& [call_id, line] : std::exchange(queued_releases_, {}))
+    send_release(call_id, std::move(line), connection, no_handle, 0);
 }
 
 void CallerFrontend::on_input(Handle connection, evbuffer* in) {
@@ -82,45 +86,45 @@
 }
 
 void CallerFrontend::on_ended(Handle connection, const char*) {
-  lines_.erase(connection);
-  std::vector<Handle> lost;
-  for (const auto& [request, taken] : taken_) {
-    if (taken.connection == connection && !taken.standing) lost.push_back(request);
+  connections_.erase(connection);
+  std::vector<Handle> abandoned;
+  for (const auto& [request, offered] : requests_) {
+    if (offered.connection == connection && !offered.established) abandoned.push_back(request);
   }
-  for (const auto request : lost) {
-    forget(request);
+  for (const auto request : abandoned) {
+    erase_request(request);
     router_.caller_left(request);
   }
-  // Releases that were still under way on it go on another.
-  std::vector<std::string> unheard;
-  for (const auto& [call, each] : unheard_) {
-    if (each.connection == connection) unheard.push_back(call);
+  // Releases that were not acknowledged on this connection are sent on another one.
+  std::vector<std::string> unacknowledged;
+  for (const auto& [call_id, release] : unacknowledged_releases_) {
+    if (release.connection == connection) unacknowledged.push_back(call_id);
   }
-  for (const auto& call : unheard) {
-    auto each = unheard_[call];
-    heard(call);
-    send_release(call, std::move(each.line), no_handle, no_handle, each.sent);
+  for (const auto& call_id : unacknowledged) {
+    auto release = unacknowledged_releases_[call_id];
+    release_acknowledged(call_id);
+    send_release(call_id, std::move(release.line), no_handle, no_handle, release.transmissions);
   }
 }
 
 void CallerFrontend::on_message(Handle connection, const Message& message) {
-  lines_[connection].turn = ++turn_;
+  connections_[connection].last_message_sequence = ++message_sequence_;
   switch (message.op) {
     case Op::offer:
       return on_offer(connection, message);
     case Op::end:
-      return on_end(connection, message);
+      return on_end_message(connection, message);
     case Op::test: {
       Message reply;
       reply.op = Op::tested;
       reply.call_id = message.call_id;
-      reply.code = !door_closed_ && ready_() ? 1 : 0;
+      reply.code = !refusing_new_requests_ && is_ready_() ? 1 : 0;
       net_.write(connection, serialize_message(reply));
       return;
     }
     case Op::ended:
-      confirmed_ = true;
-      return heard(message.call_id);
+      callers_acknowledge_ = true;
+      return release_acknowledged(message.call_id);
     case Op::ringing:
       return;
     case Op::accept:
@@ -128,47 +132,49 @@
     case Op::group:
       break;
   }
-  throw Unreadable{reason::unknown_op};  // nothing that a caller may say
+  throw Unreadable{reason::unknown_op};  // callers do not send these
 }
 
 void CallerFrontend::on_offer(Handle connection, const Message& message) {
-  if (const auto it = by_name_.find(message.call_id); it != by_name_.end()) {
-    // Guards against a call's answer being drawn to who merely names it: each set-up has a new id, and what
-    // stands under this one is not touched.
-    if (taken_[it->second].connection == connection) throw Unreadable{reason::malformed};
-    return refuse_junk(connection, message.call_id);
+  if (const auto it = requests_by_call_id_.find(message.call_id); it != requests_by_call_id_.end()) {
+    // Each set-up has a new call id. An offer that reuses the id of an open call must neither get that call's
+    // answer nor change the call.
+    if (requests_[it->second].connection == connection) throw Unreadable{reason::malformed};
+    return refuse_invalid_offer(connection, message.call_id);
   }
-  auto request = read_offer(message);
-  if (!request) return refuse_junk(connection, message.call_id);
-  if (!knows_number_(request->destination)) return refuse(connection, message.call_id, cause::error, 0);
-  know(connection, Line::Known::asked);
-  if (door_closed_ || taken_.size() - standing_ >= config_.most_requests || !net_.begin_request(connection)) {
+  auto request = parse_offer(message);
+  if (!request) return refuse_invalid_offer(connection, message.call_id);
+  if (!is_known_number_(request->destination))
+    return send_refusal(connection, message.call_id, cause::error, 0);
+  raise_release_rank(connection, ConnectionState::ReleaseRank::requested);
+  if (refusing_new_requests_ || requests_.size() - established_count_ >= config_.most_requests ||
+      !net_.begin_request(connection)) {
     ended_.add(message.call_id, clock_.now_ms());
-    return refuse(connection, message.call_id, cause::congestion, turned_away_wait_ms);
+    return send_refusal(connection, message.call_id, cause::congestion, refused_retry_after_ms);
   }
   router_.offer(*this, std::move(*request), [&](Handle handle) {
-    taken_[handle] = {message.call_id, connection, false};
-    by_name_[message.call_id] = handle;
+    requests_[handle] = {message.call_id, connection, false};
+    requests_by_call_id_[message.call_id] = handle;
   });
 }
 
-/// Nothing when no converter could use the set-up: a class or tenant that the settings do not name, a figure
-/// that is out of range or no number.
-std::optional<Request> CallerFrontend::read_offer(const Message& message) const {
+/// Nothing when the offer is invalid: its class or tenant is not configured, or a number is malformed or out
+/// of range.
+std::optional<Request> CallerFrontend::parse_offer(const Message& message) const {
   const auto* class_name = message.field("class");
   const auto* extras = message.field("extras");
   if (class_name == nullptr || extras == nullptr || !message.description) return std::nullopt;
-  const auto known = config_.classes.find(*class_name);
-  if (known == config_.classes.end()) return std::nullopt;
+  const auto class_index = config_.classes.find(*class_name);
+  if (class_index == config_.classes.end()) return std::nullopt;
   if (const auto* tenant = message.field("tenant");
       tenant != nullptr && !config_.tenants.empty() && !config_.tenants.contains(*tenant)) {
     return std::nullopt;
   }
   Request request;
-  request.traffic_class = known->second;
-  request.circuits = config_.settings.classes[known->second].circuits;
+  request.traffic_class = class_index->second;
+  request.circuits = config_.settings.classes[class_index->second].circuits;
   request.time_left_ms = message.number("left", -1);
-  if (request.time_left_ms < 0 || request.time_left_ms > config_.longest_give_up_ms + left_slack_ms)
+  if (request.time_left_ms < 0 || request.time_left_ms > config_.longest_give_up_ms + time_left_slack_ms)
     return std::nullopt;
   request.redialled = message.number("retry", 0) != 0;
   request.wire_id = message.call_id;
@@ -176,13 +182,13 @@
   request.body = *message.description;
   if (const auto* key = message.field("key")) {
     request.key = *key;
-    const auto number = number_called(*key);
+    const auto number = parse_called_number(*key);
     if (!number) return std::nullopt;
     request.called_number = *number;
   }
-  const auto figures = parse_named_numbers(*extras);
-  if (!figures.well_formed) return std::nullopt;
-  for (const auto& [name, value] : figures.values) {
+  const auto extra_numbers = parse_named_numbers(*extras);
+  if (!extra_numbers.well_formed) return std::nullopt;
+  for (const auto& [name, value] : extra_numbers.values) {
     if (name == "dest" && value != std::floor(value)) return std::nullopt;
     if (name == "dest") request.destination = maddershed::exchange_number(static_cast<float>(value));
     if (name == "via") request.tandem = maddershed::exchange_number(static_cast<float>(value));
@@ -190,168 +196,178 @@
     if (name == "transit") request.in_transit = value != 0;
     if (name == "again") request.was_cut_off = value != 0;
   }
-  if (!(request.circuits > 0 && request.circuits <= most_circuits)) return std::nullopt;
+  if (!(request.circuits > 0 && request.circuits <= max_circuits_per_call)) return std::nullopt;
   if (request.destination == maddershed::no_exchange) return std::nullopt;
   return request;
 }
 
-/// A set-up that never became a request.
-void CallerFrontend::refuse(Handle connection, const std::string& call, int why, double wait_ms) {
+/// Refuses a set-up. `wait_ms`: how long the caller should wait before it retries; 0: no advice.
+void CallerFrontend::send_refusal(Handle connection, const std::string& call_id, int cause_code,
+                                  double wait_ms) {
   Message reply;
-  reply.call_id = call;
-  reply.code = why;
+  reply.call_id = call_id;
+  reply.code = cause_code;
   if (wait_ms > 0) reply.fields.emplace_back("wait", std::to_string(std::lround(wait_ms)));
   net_.write(connection, serialize_message(reply));
 }
 
-/// Who sends nothing but what cannot be used is told so, and soon not listened to any more.
-void CallerFrontend::refuse_junk(Handle connection, const std::string& call) {
-  refuse(connection, call, cause::error, 0);
-  const auto it = lines_.find(connection);
-  if (it != lines_.end() && ++it->second.junk >= most_junk) throw Unreadable{reason::malformed};
+/// Refuses an invalid offer and ends the connection when it has sent too many of them.
+void CallerFrontend::refuse_invalid_offer(Handle connection, const std::string& call_id) {
+  send_refusal(connection, call_id, cause::error, 0);
+  const auto it = connections_.find(connection);
+  if (it != connections_.end() && ++it->second.invalid_offers >= max_invalid_offers)
+    throw Unreadable{reason::malformed};
 }
 
-void CallerFrontend::on_end(Handle connection, const Message& message) {
+void CallerFrontend::on_end_message(Handle connection, const Message& message) {
   Message reply;
   reply.op = Op::ended;
   reply.call_id = message.call_id;
   net_.write(connection, serialize_message(reply));
-  if (const auto it = by_name_.find(message.call_id); it != by_name_.end()) {
+  if (const auto it = requests_by_call_id_.find(message.call_id); it != requests_by_call_id_.end()) {
     const auto request = it->second;
-    const auto taken = taken_[request];
-    // A call that stands is released on any connection; a set-up is given up on its own.
-    if (!taken.standing && taken.connection != connection) return;
-    know(connection, Line::Known::asked);
-    forget(request);
-    if (taken.standing) {
+    const auto offered = requests_[request];
+    // An established call may be released on any connection, a pending set-up only on its own.
+    if (!offered.established && offered.connection != connection) return;
+    raise_release_rank(connection, ConnectionState::ReleaseRank::requested);
+    erase_request(request);
+    if (offered.established) {
       router_.caller_released(request);
     } else {
       router_.caller_left(request);
     }
-  } else if (!ended_.has(message.call_id) && stray_may_pass()) {
-    // The call may have stood before this process began: whoever holds it cuts it on this word.
+  } else if (!ended_.contains(message.call_id) && take_unknown_release_token()) {
+    // The call may have been established before this process started: the converter that has it releases it.
     ended_.add(message.call_id, clock_.now_ms());
-    stray_(message.call_id);
+    on_unknown_release_(message.call_id);
   }
 }
 
-/// Guards the converters against a caller that releases calls nobody has: each word goes to all of them.
-bool CallerFrontend::stray_may_pass() {
-  const double now = clock_.now_ms();
-  strays_ = std::min(strays_a_second, strays_ + (now - strays_at_) / 1000 * strays_a_second);
-  strays_at_ = now;
-  if (strays_ < 1) return false;
-  strays_ -= 1;
+/// Limits the rate of releases for unknown calls, since each of them is sent to every converter.
+bool CallerFrontend::take_unknown_release_token() {
+  const double now_ms = clock_.now_ms();
+  unknown_release_tokens_ = std::min(
+      max_unknown_releases_per_second,
+      unknown_release_tokens_ + (now_ms - tokens_refilled_at_ms_) / 1000 * max_unknown_releases_per_second);
+  tokens_refilled_at_ms_ = now_ms;
+  if (unknown_release_tokens_ < 1) return false;
+  unknown_release_tokens_ -= 1;
   return true;
 }
 
 // ---- Answers --------------------------------------------------------------------------------------------
 
-void CallerFrontend::forget(Handle request) {
-  const auto it = taken_.find(request);
-  if (it == taken_.end()) return;
-  if (it->second.standing) {
-    --standing_;
+void CallerFrontend::erase_request(Handle request) {
+  const auto it = requests_.find(request);
+  if (it == requests_.end()) return;
+  if (it->second.established) {
+    --established_count_;
   } else {
     net_.end_request(it->second.connection);
   }
-  ended_.add(it->second.name, clock_.now_ms());
-  by_name_.erase(it->second.name);
-  taken_.erase(it);
+  ended_.add(it->second.call_id, clock_.now_ms());
+  requests_by_call_id_.erase(it->second.call_id);
+  requests_.erase(it);
 }
 
-void CallerFrontend::on_request_served(Handle request, const std::string& text) {
-  const auto it = taken_.find(request);
-  if (it == taken_.end()) return;
-  it->second.standing = true;
-  ++standing_;
+void CallerFrontend::on_request_served(Handle request, const std::string& answer) {
+  const auto it = requests_.find(request);
+  if (it == requests_.end()) return;
+  it->second.established = true;
+  ++established_count_;
   net_.end_request(it->second.connection);
-  know(it->second.connection, Line::Known::served);
+  raise_release_rank(it->second.connection, ConnectionState::ReleaseRank::served);
   Message message;
   message.op = Op::accept;
-  message.call_id = it->second.name;
-  message.description = text;
+  message.call_id = it->second.call_id;
+  message.description = answer;
   net_.write(it->second.connection, serialize_message(message));
 }
 
 void CallerFrontend::on_request_refused(Handle request, double wait_ms) {
-  turn_down(request, cause::congestion, wait_ms);
+  reject_request(request, cause::congestion, wait_ms);
 }
-void CallerFrontend::on_request_failed(Handle request) { turn_down(request, cause::temporary_failure, 0); }
-
-void CallerFrontend::turn_down(Handle request, int why, double wait_ms) {
-  const auto it = taken_.find(request);
-  if (it == taken_.end()) return;
-  const auto taken = it->second;
-  refuse(taken.connection, taken.name, why, wait_ms);
-  forget(request);
+void CallerFrontend::on_request_failed(Handle request) {
+  reject_request(request, cause::temporary_failure, 0);
+}
+
+void CallerFrontend::reject_request(Handle request, int cause_code, double wait_ms) {
+  const auto it = requests_.find(request);
+  if (it == requests_.end()) return;
+  const auto offered = it->second;
+  send_refusal(offered.connection, offered.call_id, cause_code, wait_ms);
+  erase_request(request);
 }
 
 void CallerFrontend::on_call_ended(Handle request, CallEnd end) {
-  const auto it = taken_.find(request);
-  if (it == taken_.end()) return;
-  const auto taken = it->second;
-  forget(request);
-  release(taken.name, end == CallEnd::normal ? cause::normal : cause::temporary_failure, taken.connection);
+  const auto it = requests_.find(request);
+  if (it == requests_.end()) return;
+  const auto offered = it->second;
+  erase_request(request);
+  release_call(offered.call_id, end == CallEnd::normal ? cause::normal : cause::temporary_failure,
+               offered.connection);
 }
 
-/// A standing call belongs to no connection: its release goes on any, or on the next one that comes.
-void CallerFrontend::release(const std::string& call, int why, Handle preferred) {
+/// An established call is not bound to a connection: its release is sent on any, or queued for the next
+/// eligible one.
+void CallerFrontend::release_call(const std::string& call_id, int cause_code, Handle preferred) {
   Message message;
-  message.call_id = call;
-  message.code = why;
-  send_release(call, serialize_message(message), preferred, no_handle, 0);
+  message.call_id = call_id;
+  message.code = cause_code;
+  send_release(call_id, serialize_message(message), preferred, no_handle, 0);
 }
 
-/// Guards against a release that nobody takes in: best is the connection that brought the call, then one
-/// whose calls were served, then one that asked, the one heard from last each time; and where callers
-/// confirm, what is not confirmed goes once more, on another connection if there is one.
-void CallerFrontend::send_release(const std::string& call, std::string line, Handle preferred, Handle avoided,
-                                  int sent) {
+/// Sends the release on the preferred connection if that is eligible, else on the one with the highest rank
+/// and, among equals, the most recent message, avoiding `avoided` if there is another. Where callers
+/// acknowledge releases, an unacknowledged one is retransmitted, so that it is not lost on a connection whose
+/// peer does not process it.
+void CallerFrontend::send_release(const std::string& call_id, std::string line, Handle preferred,
+                                  Handle avoided, int transmissions) {
   while (true) {
-    auto best = lines_.find(preferred);
-    if (best == lines_.end() || best->second.known == Line::Known::nothing) {
-      best = lines_.end();
+    auto best = connections_.find(preferred);
+    if (best == connections_.end() || best->second.release_rank == ConnectionState::ReleaseRank::ineligible) {
+      best = connections_.end();
       const auto rank = [avoided](const auto& each) {
-        return std::tuple(each.first != avoided, each.second.known, each.second.turn);
+        return std::tuple(each.first != avoided, each.second.release_rank, each.second.last_message_sequence);
       };
-      for (auto it = lines_.begin(); it != lines_.end(); ++it) {
-        if (it->second.known == Line::Known::nothing) continue;
-        if (best == lines_.end() || rank(*it) > rank(*best)) best = it;
+      for (auto it = connections_.begin(); it != connections_.end(); ++it) {
+        if (it->second.release_rank == ConnectionState::ReleaseRank::ineligible) continue;
+        if (best == connections_.end() || rank(*it) > rank(*best)) best = it;
       }
     }
-    if (best == lines_.end()) break;
+    if (best == connections_.end()) break;
     const auto connection = best->first;
     if (!net_.write(connection, line)) {
-      lines_.erase(connection);
+      connections_.erase(connection);
       continue;
     }
-    if (sent + 1 >= most_releases) return;
-    auto& unheard = unheard_[call];
-    timers_.cancel(unheard.again);
-    unheard = {connection, std::move(line), sent + 1, {}};
-    unheard.again = timers_.schedule(clock_.now_ms() + confirm_wait_ms, [this, call] {
-      auto each = unheard_[call];
-      unheard_.erase(call);
-      if (confirmed_) send_release(call, std::move(each.line), no_handle, each.connection, each.sent);
+    if (transmissions + 1 >= max_release_transmissions) return;
+    auto& unacknowledged = unacknowledged_releases_[call_id];
+    timers_.cancel(unacknowledged.retry_timer);
+    unacknowledged = {connection, std::move(line), transmissions + 1, {}};
+    unacknowledged.retry_timer = timers_.schedule(clock_.now_ms() + release_ack_timeout_ms, [this, call_id] {
+      auto release = unacknowledged_releases_[call_id];
+      unacknowledged_releases_.erase(call_id);
+      if (callers_acknowledge_)
+        send_release(call_id, std::move(release.line), no_handle, release.connection, release.transmissions);
     });
     return;
   }
-  if (unsaid_.size() >= most_unsaid) unsaid_.pop_front();
-  unsaid_.emplace_back(call, std::move(line));
+  if (queued_releases_.size() >= max_queued_releases) queued_releases_.pop_front();
+  queued_releases_.emplace_back(call_id, std::move(line));
 }
 
-void CallerFrontend::heard(const std::string& call) {
-  const auto it = unheard_.find(call);
-  if (it == unheard_.end()) return;
-  timers_.cancel(it->second.again);
-  unheard_.erase(it);
+void CallerFrontend::release_acknowledged(const std::string& call_id) {
+  const auto it = unacknowledged_releases_.find(call_id);
+  if (it == unacknowledged_releases_.end()) return;
+  timers_.cancel(it->second.retry_timer);
+  unacknowledged_releases_.erase(it);
 }
 
-void CallerFrontend::end_unknown_call(const std::string& call, int why) {
-  if (knows_call(call)) return;
-  ended_.add(call, clock_.now_ms());
-  release(call, why, no_handle);
+void CallerFrontend::end_unknown_call(const std::string& call_id, int cause_code) {
+  if (knows_call(call_id)) return;
+  ended_.add(call_id, clock_.now_ms());
+  release_call(call_id, cause_code, no_handle);
 }
 
 }  // namespace heathturn
--- a/src/platform/caller_frontend.hpp
+++ b/src/platform/caller_frontend.hpp
@@ -1,4 +1,5 @@
-// The platform's front: the callers' connections, and the calls they have brought.
+// The frontend of the platform: accepts callers' connections, passes their set-ups to the router and sends
+// them the answers and releases.
 #pragma once
 
 #include <deque>
@@ -17,38 +18,44 @@
 
 namespace heathturn {
 
-/// The ids of calls that this process has brought to their end, kept while words on them may be under way.
+/// The ids of calls that ended in this process, kept as long as messages about them may still arrive.
 class RecentlyEndedCalls {
  public:
-  void add(const std::string& call, double now);
-  [[nodiscard]] bool has(const std::string& call) const { return calls_.contains(call); }
+  void add(const std::string& call_id, double now_ms);
+  [[nodiscard]] bool contains(const std::string& call_id) const { return call_ids_.contains(call_id); }
 
  private:
-  std::set<std::string> calls_;
-  std::deque<std::pair<double, std::string>> order_;
+  std::set<std::string> call_ids_;
+  std::deque<std::pair<double, std::string>> by_end_time_;
 };
 
+/// Serves the callers' connections. An established call outlives the connection that it was offered on; its
+/// release may be sent on any connection.
 class CallerFrontend : public Frontend, public ConnectionUser {
  public:
   CallerFrontend(Clock& clock, TimerQueue& timers, Connections& net, Router& router, const Config& config);
+  /// Throws std::runtime_error when the configured address cannot be bound.
   void listen();
-  /// The bounds of the configuration as it is now.
-  void update_limits() { net_.set_bounds(listener_, bounds()); }
-  void set_readiness_check(std::function<bool()> ready) { ready_ = std::move(ready); }
-  /// Told of a release for a call that this process never had.
-  void set_unknown_release_handler(std::function<void(const std::string&)> stray) {
-    stray_ = std::move(stray);
+  /// Applies the limits of the current configuration to new connections.
+  void update_limits() { net_.set_bounds(listener_, listener_limits()); }
+  /// The result of the check answers the platform's readiness tests.
+  void set_readiness_check(std::function<bool()> is_ready) { is_ready_ = std::move(is_ready); }
+  /// The handler gets the id of a released call that this process has no record of.
+  void set_unknown_release_handler(std::function<void(const std::string&)> handler) {
+    on_unknown_release_ = std::move(handler);
   }
-  /// Whether any converter has this number.
-  void set_number_check(std::function<bool(maddershed::ExchangeNumber)> knows) {
-    knows_number_ = std::move(knows);
+  /// The check tells whether any converter has or had the number.
+  void set_number_check(std::function<bool(maddershed::ExchangeNumber)> is_known_number) {
+    is_known_number_ = std::move(is_known_number);
   }
-  /// New set-ups are refused from here on.
-  void refuse_new_requests() { door_closed_ = true; }
-  /// A converter's word on a call that stood before this process began.
-  void end_unknown_call(const std::string& call, int why);
+  /// Refuses new set-ups from now on.
+  void refuse_new_requests() { refusing_new_requests_ = true; }
+  /// Sends the release of a call that a converter ended and this process has no record of, because it was
+  /// established before the process started.
+  void end_unknown_call(const std::string& call_id, int cause_code);
+  /// The call is open, or ended recently.
   [[nodiscard]] bool knows_call(const std::string& call_id) const {
-    return by_name_.contains(call_id) || ended_.has(call_id);
+    return requests_by_call_id_.contains(call_id) || ended_.contains(call_id);
   }
 
   void on_request_served(Handle request, const std::string& answer) override;
@@ -61,61 +68,62 @@
   void on_ended(Handle connection, const char* reason) override;
 
  private:
-  struct Taken {
-    std::string name;
+  struct OfferedRequest {
+    std::string call_id;
     Handle connection = no_handle;
-    bool standing = false;
+    bool established = false;
   };
-  /// What is known of a connection: a release goes to the one known best.
-  struct Line {
-    enum class Known { nothing, quiet, asked, served } known = Known::nothing;
-    std::uint64_t turn = 0;  ///< when it said something last, in the order of all
-    std::uint32_t junk = 0;  ///< set-ups that could not be used
+  struct ConnectionState {
+    /// How suitable the connection is for sending releases; higher values are preferred.
+    enum class ReleaseRank { ineligible, quiet, requested, served } release_rank = ReleaseRank::ineligible;
+    std::uint64_t last_message_sequence = 0;  ///< of its latest message; 0: none received
+    std::uint32_t invalid_offers = 0;
   };
-  /// A release that its caller has not confirmed yet.
-  struct Unheard {
+  /// A release that its caller has not acknowledged yet.
+  struct UnacknowledgedRelease {
     Handle connection = no_handle;
     std::string line;
-    int sent = 0;
-    TimerQueue::Key again;
+    int transmissions = 0;
+    TimerQueue::Key retry_timer;
   };
   void on_message(Handle connection, const Message& message);
   void on_offer(Handle connection, const Message& message);
-  void on_end(Handle connection, const Message& message);
-  [[nodiscard]] Connections::Bounds bounds() const;
-  void refuse(Handle connection, const std::string& call, int why, double wait_ms);
-  void turn_down(Handle request, int why, double wait_ms);
-  void release(const std::string& call, int why, Handle preferred);
-  void send_release(const std::string& call, std::string line, Handle preferred, Handle avoided, int sent);
-  void heard(const std::string& call);
-  void forget(Handle request);
-  void know(Handle connection, Line::Known known);
-  [[nodiscard]] std::optional<Request> read_offer(const Message& message) const;
-  bool stray_may_pass();
-  void refuse_junk(Handle connection, const std::string& call);
+  void on_end_message(Handle connection, const Message& message);
+  [[nodiscard]] Connections::Bounds listener_limits() const;
+  void send_refusal(Handle connection, const std::string& call_id, int cause_code, double wait_ms);
+  void reject_request(Handle request, int cause_code, double wait_ms);
+  void release_call(const std::string& call_id, int cause_code, Handle preferred);
+  void send_release(const std::string& call_id, std::string line, Handle preferred, Handle avoided,
+                    int transmissions);
+  void release_acknowledged(const std::string& call_id);
+  void erase_request(Handle request);
+  void raise_release_rank(Handle connection, ConnectionState::ReleaseRank release_rank);
+  [[nodiscard]] std::optional<Request> parse_offer(const Message& message) const;
+  bool take_unknown_release_token();
+  void refuse_invalid_offer(Handle connection, const std::string& call_id);
 
   Clock& clock_;
   TimerQueue& timers_;
   Connections& net_;
   Router& router_;
   const Config& config_;
-  std::function<bool()> ready_;
-  std::function<void(const std::string&)> stray_;
-  std::function<bool(maddershed::ExchangeNumber)> knows_number_;
-  std::unordered_map<Handle, Taken> taken_;
-  std::unordered_map<std::string, Handle> by_name_;
+  std::function<bool()> is_ready_;
+  std::function<void(const std::string&)> on_unknown_release_;
+  std::function<bool(maddershed::ExchangeNumber)> is_known_number_;
+  std::unordered_map<Handle, OfferedRequest> requests_;
+  std::unordered_map<std::string, Handle> requests_by_call_id_;
   RecentlyEndedCalls ended_;
-  std::unordered_map<Handle, Line> lines_;            ///< by connection
-  std::unordered_map<std::string, Unheard> unheard_;  ///< by call
+  std::unordered_map<Handle, ConnectionState> connections_;
+  std::unordered_map<std::string, UnacknowledgedRelease> unacknowledged_releases_;  ///< by call id
   std::deque<std::pair<std::string, std::string>>
-      unsaid_;  ///< releases, by call, that no connection could carry yet
-  std::uint64_t turn_ = 0;
-  std::size_t standing_ = 0;  ///< of those in taken_
-  double strays_ = 0;         ///< that may be passed on now
-  double strays_at_ = 0;
-  bool confirmed_ = false;  ///< callers here confirm the releases they hear
+      queued_releases_;  ///< call id and line, until a connection is eligible
+  std::uint64_t message_sequence_ = 0;
+  std::size_t established_count_ = 0;  ///< number of established calls in requests_
+  double unknown_release_tokens_ = 0;  ///< token bucket for releases of unknown calls
+  double tokens_refilled_at_ms_ = 0;
+  bool callers_acknowledge_ = false;  ///< at least one release has been acknowledged
   Address listener_;
-  bool door_closed_ = false;
+  bool refusing_new_requests_ = false;
 };
 
 }  // namespace heathturn
--- a/src/platform/converter_backend.cpp
+++ b/src/platform/converter_backend.cpp
@@ -12,36 +12,39 @@
 
 namespace {
 
-constexpr double retry_first_ms = 50;  // between attempts to connect, doubling
-constexpr double retry_most_ms = 1000;
-constexpr std::size_t most_unsaid = 4096;  // releases kept for a converter that cannot be reached
-constexpr double watch_every_ms = 100;
-constexpr double heard_apart_ms = 150;    // what one connection may tell later than the other
-constexpr double behind_wait_ms = 400;    // for the test of one that is behind while the other is heard
-constexpr double silent_after_ms = 2000;  // nothing heard, while calls stand: a test is sent
-constexpr double test_wait_ms = 1000;     // and not answered by then: the connections are dead
-// Rule: the caller of a call that nobody releases hears of its end within 8 s. Silence is noticed 3 s after
-// it began and its connections are closed; this much later the calls are taken for over.
-constexpr double lost_after_ms = 4000;
-// A machine that has stopped for a drain may leave its connections open for seconds, and fail each test on
-// them: its calls are cut by then.
-constexpr double down_after_ms = 1000;
-constexpr double probe_kept_ms = 10000;   // without an answer
-constexpr double unheard_kept_ms = 1000;  // a connection that was dead already has ended by then
-constexpr double gone_after_ms = 1000;    // the last releases of one that is gone may still be under way
+constexpr double min_reconnect_delay_ms = 50;  // doubled after each attempt
+constexpr double max_reconnect_delay_ms = 1000;
+constexpr std::size_t max_queued_releases = 4096;  // per converter; also the limit for unacknowledged ones
+constexpr double check_interval_ms = 100;
+// A connection that received its latest_deadline_ms message earlier than the other one by more than this is
+// lagging.
+constexpr double max_receive_lag_ms = 150;
+constexpr double lagging_test_timeout_ms = 400;  // for a test on a lagging connection
+constexpr double silence_before_test_ms = 2000;  // while calls are open
+constexpr double test_timeout_ms = 1000;         // the connection counts as dead after that
+// Rule: the caller of a call that nobody releases learns of its end within 8 s. Silence is detected and the
+// connections are closed 3 s after it began; this long after that, the calls count as ended.
+constexpr double unreachable_timeout_ms = 4000;
+// A machine stopped for a drain may leave its connections open for seconds and fail each test on them: its
+// calls are ended after this time.
+constexpr double failing_tests_timeout_ms = 1000;
+constexpr double probe_timeout_ms = 10000;
+// A connection that was dead when the release was written has ended by then.
+constexpr double unacknowledged_release_retention_ms = 1000;
+constexpr double gone_grace_period_ms = 1000;  // the converter's last releases may still be in flight
 
 FailureCause cause_of(const std::string& note) {
   if (note == "all_trunks_busy") return FailureCause::no_circuit;
-  if (note == "via_said_no") return FailureCause::tandem_refused;
+  if (note == "via_release_no") return FailureCause::tandem_refused;
   if (note == "far_cpu_full") return FailureCause::destination_processor_full;
   if (note == "cpu_full") return FailureCause::processor_full;
   if (note == "number_busy") return FailureCause::number_busy;
   return FailureCause::none;
 }
 
-/// What a release before the answer means.
-AttemptResult result_of(int why) {
-  switch (why) {
+/// Result of an attempt that the converter ended with this cause before it answered.
+AttemptResult result_of(int cause_code) {
+  switch (cause_code) {
     case cause::no_circuit:
       return AttemptResult::not_set_up;
     case cause::timer_expired:
@@ -59,67 +62,67 @@
                                    const Config& config)
     : clock_(clock), timers_(timers), net_(net), router_(router), config_(config) {}
 
-// ---- The list -------------------------------------------------------------------------------------------
+// ---- Converter list -------------------------------------------------------------------------------------
 
 void ConverterBackend::update_list(const std::vector<Converter>& list, bool is_snapshot) {
   DirectoryUpdate update;
   update.kind = is_snapshot ? DirectoryUpdate::Kind::snapshot : DirectoryUpdate::Kind::changes;
   if (is_snapshot) {
-    for (auto& [id, link] : links_) link.converter.entry.state = ExchangeState::gone;
+    for (auto& [id, peer] : peers_) peer.converter.entry.state = ExchangeState::gone;
   }
   for (const auto& converter : list) {
     update.entries.push_back(converter.entry);
     const auto id = converter.entry.exchange;
-    // One never known here, and gone already, leaves nothing behind.
-    if (converter.entry.state == ExchangeState::gone && !links_.contains(id)) continue;
-    auto [it, fresh] = links_.try_emplace(id);
-    auto& link = it->second;
-    const bool restarted = !fresh && link.converter.entry.started_at != converter.entry.started_at;
-    const bool moved = !fresh && link.converter.address != converter.address;
-    link.converter = converter;
-    for (std::size_t i = 0; moved && i < held_connections; ++i) {
-      if (link.lines[i].connection != no_handle) net_.close(link.lines[i].connection, reason::withdrawn);
+    // A converter that was not known before and is gone already needs no state.
+    if (converter.entry.state == ExchangeState::gone && !peers_.contains(id)) continue;
+    auto [it, is_new] = peers_.try_emplace(id);
+    auto& peer = it->second;
+    const bool restarted = !is_new && peer.converter.entry.started_at != converter.entry.started_at;
+    const bool moved = !is_new && peer.converter.address != converter.address;
+    peer.converter = converter;
+    for (std::size_t i = 0; moved && i < connections_per_converter; ++i) {
+      if (peer.connections[i].handle != no_handle) net_.close(peer.connections[i].handle, reason::withdrawn);
     }
-    if (fresh) {
-      link.unreached = clock_.now_ms();
-      watch(id);
+    if (is_new) {
+      peer.unreachable_since_ms = clock_.now_ms();
+      check_peer(id);
     }
-    // A process that began anew holds none of the calls that stood before. News of it comes late: the calls
-    // that it took since then are its own.
+    // A restarted process has lost the calls established before its start. The list reports the restart late,
+    // so calls established since then are kept.
     if (restarted && converter.entry.started_at)
       router_.exchange_lost(id, to_ms(*converter.entry.started_at));
-    // The own exchange is sent nothing, and has no group to tell of.
-    link.own = converter.entry.number == config_.settings.home_exchange;
-    list_for_admission(link);
+    // This router's own exchange gets no messages and has no circuit group to report on.
+    peer.is_own_exchange = converter.entry.number == config_.settings.home_exchange;
+    register_for_admission(peer);
     numbers_.insert(converter.entry.number);
-    if (converter.entry.state != ExchangeState::ready || link.own) continue;
-    for (std::size_t i = 0; i < held_connections; ++i) {
-      if (link.lines[i].connection == no_handle) open(link, i);
+    if (converter.entry.state != ExchangeState::ready || peer.is_own_exchange) continue;
+    for (std::size_t i = 0; i < connections_per_converter; ++i) {
+      if (peer.connections[i].handle == no_handle) connect(peer, i);
     }
   }
-  for (auto& [id, link] : links_) {
-    if (link.converter.entry.state != ExchangeState::gone) {
-      link.gone = 0;
-    } else if (link.gone == 0) {
-      link.gone = clock_.now_ms();
+  for (auto& [id, peer] : peers_) {
+    if (peer.converter.entry.state != ExchangeState::gone) {
+      peer.gone_since_ms = 0;
+    } else if (peer.gone_since_ms == 0) {
+      peer.gone_since_ms = clock_.now_ms();
     }
   }
   router_.directory_updated(update);
 }
 
 bool ConverterBackend::all_states_reported() const {
-  return std::all_of(links_.begin(), links_.end(), [](const auto& each) {
-    const auto& link = each.second;
-    return link.state_told || link.own || link.converter.entry.state != ExchangeState::ready;
+  return std::all_of(peers_.begin(), peers_.end(), [](const auto& each) {
+    const auto& peer = each.second;
+    return peer.state_reported || peer.is_own_exchange || peer.converter.entry.state != ExchangeState::ready;
   });
 }
 
 std::vector<ConverterView> ConverterBackend::view() const {
   std::vector<ConverterView> out;
-  for (const auto& [id, link] : links_) {
-    const auto open =
-        std::count_if(link.lines.begin(), link.lines.end(), [](const Line& l) { return l.open; });
-    out.push_back({link.converter, static_cast<std::size_t>(open)});
+  for (const auto& [id, peer] : peers_) {
+    const auto open = std::count_if(peer.connections.begin(), peer.connections.end(),
+                                    [](const ConnectionState& state) { return state.open; });
+    out.push_back({peer.converter, static_cast<std::size_t>(open)});
   }
   return out;
 }
@@ -128,236 +131,251 @@
 
 void ConverterBackend::enable_tls(std::shared_ptr<tls::Context> context,
                                   const handshakes::Settings& settings) {
-  context_ = std::move(context);
+  tls_context_ = std::move(context);
   if (admission_) return;
   admission_ = std::make_unique<handshakes::Admission>(settings, config_.seed);
-  // Set by a reload: those known so far are not listed again.
-  for (const auto& [id, link] : links_) list_for_admission(link);
+  // TLS may be enabled by a reload, and the converters known so far are not listed again.
+  for (const auto& [id, peer] : peers_) register_for_admission(peer);
 }
 
-void ConverterBackend::list_for_admission(const Link& link) {
-  if (!context_ || link.own) return;
-  const auto& entry = link.converter.entry;
+void ConverterBackend::register_for_admission(const Peer& peer) {
+  if (!tls_context_ || peer.is_own_exchange) return;
+  const auto& entry = peer.converter.entry;
   admission_->update_converter(entry.exchange, clock_.now_ms(),
                                entry.started_at ? std::optional(to_ms(*entry.started_at)) : std::nullopt,
-                               held_connections);
+                               connections_per_converter);
 }
 
-/// As the admission allows; no_handle when it must wait. What cannot wait with it is given back at once.
-Handle ConverterBackend::open_secured(Link& link, std::size_t line) {
-  const auto id = link.converter.entry.exchange;
-  const double now = clock_.now_ms();
-  double latest = 0;
-  for (const auto attempt : link.waiting) latest = std::max(latest, attempts_[attempt].due);
-  const auto verdict =
-      admission_->request_handshake(id, now, context_->sessions().has(id.value), latest > 0 ? latest : 1e300);
-  if (verdict.admitted) {
-    link.lines[line].admitted = verdict.kind;
-    link.lines[line].since = now;
+/// Connects if the admission allows it now; otherwise schedules a retry, returns no_handle, and fails at once
+/// the waiting attempts that would expire before it, unless another connection is open or being opened.
+Handle ConverterBackend::connect_tls(Peer& peer, std::size_t index) {
+  const auto id = peer.converter.entry.exchange;
+  const double now_ms = clock_.now_ms();
+  double latest_deadline_ms = 0;
+  for (const auto attempt : peer.waiting_attempts)
+    latest_deadline_ms = std::max(latest_deadline_ms, attempts_[attempt].deadline_ms);
+  const auto decision = admission_->request_handshake(id, now_ms, tls_context_->sessions().has(id.value),
+                                                      latest_deadline_ms > 0 ? latest_deadline_ms : 1e300);
+  if (decision.admitted) {
+    peer.connections[index].admitted_kind = decision.kind;
+    peer.connections[index].started_at_ms = now_ms;
     bool offered = false;
-    return net_.connect(link.converter.address, *this, "converter", context_->config().handshake_ms,
-                        {context_, id.value, link.converter.name}, offered);
+    return net_.connect(peer.converter.address, *this, "converter", tls_context_->config().handshake_ms,
+                        {tls_context_, id.value, peer.converter.name}, offered);
   }
-  open_at(link, line, verdict.retry_at_ms);
-  const bool other_coming = std::any_of(link.lines.begin(), link.lines.end(),
-                                        [](const Line& l) { return l.connection != no_handle; });
-  if (other_coming) return no_handle;
-  std::vector<Handle> late;
-  for (const auto attempt : link.waiting) {
-    if (attempts_[attempt].due <= verdict.retry_at_ms) late.push_back(attempt);
+  connect_at(peer, index, decision.retry_at_ms);
+  const bool any_connecting_or_open =
+      std::any_of(peer.connections.begin(), peer.connections.end(),
+                  [](const ConnectionState& state) { return state.handle != no_handle; });
+  if (any_connecting_or_open) return no_handle;
+  std::vector<Handle> expired;
+  for (const auto attempt : peer.waiting_attempts) {
+    if (attempts_[attempt].deadline_ms <= decision.retry_at_ms) expired.push_back(attempt);
   }
-  for (const auto attempt : late) {
-    forget(attempt);
+  for (const auto attempt : expired) {
+    erase_attempt(attempt);
     router_.attempt_ended(attempt, {.result = AttemptResult::connect_failed});
   }
   return no_handle;
 }
 
-void ConverterBackend::open(Link& link, std::size_t line) {
-  timers_.cancel(link.lines[line].retry);
+void ConverterBackend::connect(Peer& peer, std::size_t index) {
+  timers_.cancel(peer.connections[index].reconnect_timer);
   const auto connection =
-      context_ ? open_secured(link, line)
-               : net_.connect(link.converter.address, *this, "converter", config_.connect_timeout_ms);
+      tls_context_ ? connect_tls(peer, index)
+                   : net_.connect(peer.converter.address, *this, "converter", config_.connect_timeout_ms);
   if (connection == no_handle) return;
-  link.lines[line].connection = connection;
-  link.lines[line].open = false;
-  lines_[connection] = {link.converter.entry.exchange, line};
+  peer.connections[index].handle = connection;
+  peer.connections[index].open = false;
+  locations_[connection] = {peer.converter.entry.exchange, index};
 }
 
-void ConverterBackend::open_later(Link& link, std::size_t line) {
-  if (link.converter.entry.state == ExchangeState::gone) return;
-  link.retry_ms = std::clamp(2 * link.retry_ms, retry_first_ms, retry_most_ms);
-  open_at(link, line, clock_.now_ms() + link.retry_ms);
+void ConverterBackend::reconnect_later(Peer& peer, std::size_t index) {
+  if (peer.converter.entry.state == ExchangeState::gone) return;
+  peer.reconnect_delay_ms =
+      std::clamp(2 * peer.reconnect_delay_ms, min_reconnect_delay_ms, max_reconnect_delay_ms);
+  connect_at(peer, index, clock_.now_ms() + peer.reconnect_delay_ms);
 }
 
-void ConverterBackend::open_at(Link& link, std::size_t line, double time) {
-  const auto id = link.converter.entry.exchange;
-  timers_.cancel(link.lines[line].retry);
-  link.lines[line].retry = timers_.schedule(time, [this, id, line] {
-    auto& later = links_[id];
-    later.lines[line].retry = {};
-    if (later.converter.entry.state != ExchangeState::gone && later.lines[line].connection == no_handle) {
-      open(later, line);
+void ConverterBackend::connect_at(Peer& peer, std::size_t index, double time_ms) {
+  const auto id = peer.converter.entry.exchange;
+  timers_.cancel(peer.connections[index].reconnect_timer);
+  peer.connections[index].reconnect_timer = timers_.schedule(time_ms, [this, id, index] {
+    auto& retried = peers_[id];
+    retried.connections[index].reconnect_timer = {};
+    if (retried.converter.entry.state != ExchangeState::gone &&
+        retried.connections[index].handle == no_handle) {
+      connect(retried, index);
     }
   });
 }
 
-/// Stays with one connection as long as it is heard, so that set-ups and the group's state go in one order;
-/// the other takes over when it is heard and the first is not.
-Handle ConverterBackend::open_connection(Link& link) {
-  const auto& lines = link.lines;
-  for (std::size_t i = 0; i < held_connections; ++i) {
-    const auto& now = lines[link.preferred];
-    const auto& other = lines[i];
+/// Returns the open connection to use, or no_handle. Stays with one connection as long as messages arrive on
+/// it, so that set-ups and group states keep their order; switches when only the other one receives.
+Handle ConverterBackend::select_connection(Peer& peer) {
+  const auto& connections = peer.connections;
+  for (std::size_t i = 0; i < connections_per_converter; ++i) {
+    const auto& current = connections[peer.preferred];
+    const auto& other = connections[i];
     if (!other.open) continue;
-    if (!now.open ||
-        std::pair(other.spoken, other.heard - heard_apart_ms) > std::pair(now.spoken, now.heard)) {
-      link.preferred = i;
+    if (!current.open || std::pair(other.received_any, other.last_received_ms - max_receive_lag_ms) >
+                             std::pair(current.received_any, current.last_received_ms)) {
+      peer.preferred = i;
     }
   }
-  return lines[link.preferred].open ? lines[link.preferred].connection : no_handle;
+  return connections[peer.preferred].open ? connections[peer.preferred].handle : no_handle;
 }
 
 void ConverterBackend::on_connected(Handle connection) {
-  const auto at = lines_[connection];
-  auto& link = links_[at.exchange];
-  if (context_) {
-    const auto& line = link.lines[at.line];
-    const double now = clock_.now_ms();
-    admission_->handshake_finished(at.exchange, now, line.admitted, handshakes::Outcome::established,
-                                   net_.resumed(connection), now - line.since);
+  const auto location = locations_[connection];
+  auto& peer = peers_[location.exchange];
+  if (tls_context_) {
+    const auto& state = peer.connections[location.index];
+    const double now_ms = clock_.now_ms();
+    admission_->handshake_finished(location.exchange, now_ms, state.admitted_kind,
+                                   handshakes::Outcome::established, net_.resumed(connection),
+                                   now_ms - state.started_at_ms);
   }
-  link.lines[at.line].open = true;
-  link.lines[at.line].heard = clock_.now_ms();
-  link.retry_ms = 0;
-  link.unreached = 0;
-  for (const auto& call : std::exchange(link.unsaid, {})) say_end(link, call, connection);
-  for (const auto attempt : std::exchange(link.waiting, {})) {
+  peer.connections[location.index].open = true;
+  peer.connections[location.index].last_received_ms = clock_.now_ms();
+  peer.reconnect_delay_ms = 0;
+  peer.unreachable_since_ms = 0;
+  for (const auto& call_id : std::exchange(peer.queued_releases, {})) send_release(peer, call_id, connection);
+  for (const auto attempt : std::exchange(peer.waiting_attempts, {})) {
     if (attempts_.contains(attempt)) write_set_up(attempt, connection);
   }
 }
 
-void ConverterBackend::on_ended(Handle connection, const char* why) {
-  const auto at = lines_[connection];
-  lines_.erase(connection);
-  auto& link = links_[at.exchange];
-  if (context_) {
-    const auto& line = link.lines[at.line];
-    const double now = clock_.now_ms();
-    if (line.open) {
-      admission_->connection_closed(at.exchange, now, std::string_view(why) == reason::reset);
+void ConverterBackend::on_ended(Handle connection, const char* end_reason) {
+  const auto location = locations_[connection];
+  locations_.erase(connection);
+  auto& peer = peers_[location.exchange];
+  if (tls_context_) {
+    const auto& state = peer.connections[location.index];
+    const double now_ms = clock_.now_ms();
+    if (state.open) {
+      admission_->connection_closed(location.exchange, now_ms, std::string_view(end_reason) == reason::reset);
     } else {
-      admission_->handshake_finished(at.exchange, now, line.admitted, tls::ending_of(why), false,
-                                     now - line.since);
+      admission_->handshake_finished(location.exchange, now_ms, state.admitted_kind,
+                                     tls::ending_of(end_reason), false, now_ms - state.started_at_ms);
     }
   }
-  link.lines[at.line] = {};
-  if (link.unreached == 0 && open_connection(link) == no_handle) link.unreached = clock_.now_ms();
-  std::vector<Handle> broken;
-  for (const auto& [call, attempt] : link.attempts) {
-    if (attempts_[attempt].connection == connection) broken.push_back(attempt);
+  peer.connections[location.index] = {};
+  if (peer.unreachable_since_ms == 0 && select_connection(peer) == no_handle)
+    peer.unreachable_since_ms = clock_.now_ms();
+  std::vector<Handle> affected;
+  for (const auto& [call_id, attempt] : peer.attempts) {
+    if (attempts_[attempt].connection == connection) affected.push_back(attempt);
   }
-  for (const auto attempt : broken) {
-    // A set-up ends with its connection; a call that stands does not.
+  for (const auto attempt : affected) {
+    // A pending set-up ends with its connection; an established call does not.
     if (router_.is_established(attempt)) {
       attempts_[attempt].connection = no_handle;
       continue;
     }
-    forget(attempt);
+    erase_attempt(attempt);
     router_.attempt_ended(attempt, {.result = AttemptResult::reset});
   }
-  std::vector<std::string> unheard;
-  for (const auto& [call, said] : link.unheard) {
-    if (said.connection == connection) unheard.push_back(call);
+  std::vector<std::string> unacknowledged;
+  for (const auto& [call_id, release] : peer.unacknowledged_releases) {
+    if (release.connection == connection) unacknowledged.push_back(call_id);
   }
-  for (const auto& call : unheard) {
-    link.unheard.erase(call);
-    say_end(link, call, no_handle);
+  for (const auto& call_id : unacknowledged) {
+    peer.unacknowledged_releases.erase(call_id);
+    send_release(peer, call_id, no_handle);
   }
-  const bool other_coming = std::any_of(link.lines.begin(), link.lines.end(),
-                                        [](const Line& l) { return l.connection != no_handle; });
-  if (!other_coming) fail_waiting(link);
-  open_later(link, at.line);
+  const bool any_connecting_or_open =
+      std::any_of(peer.connections.begin(), peer.connections.end(),
+                  [](const ConnectionState& state) { return state.handle != no_handle; });
+  if (!any_connecting_or_open) fail_waiting_attempts(peer);
+  reconnect_later(peer, location.index);
 }
 
-/// No connection came up for them: nothing ran.
-void ConverterBackend::fail_waiting(Link& link) {
-  for (const auto attempt : std::exchange(link.waiting, {})) {
+/// Fails the attempts that waited for a connection: they were never sent.
+void ConverterBackend::fail_waiting_attempts(Peer& peer) {
+  for (const auto attempt : std::exchange(peer.waiting_attempts, {})) {
     if (!attempts_.contains(attempt)) continue;
-    forget(attempt);
+    erase_attempt(attempt);
     router_.attempt_ended(attempt, {.result = AttemptResult::connect_failed});
   }
 }
 
 void ConverterBackend::on_input(Handle connection, evbuffer* in) {
-  const auto at = lines_[connection];
-  auto& link = links_[at.exchange];
-  auto& told = link.lines[at.line];
-  told.spoken = true;
-  told.heard = clock_.now_ms();
-  told.tested_at = 0;
+  const auto location = locations_[connection];
+  auto& peer = peers_[location.exchange];
+  auto& state = peer.connections[location.index];
+  state.received_any = true;
+  state.last_received_ms = clock_.now_ms();
+  state.test_sent_at_ms = 0;
   net_.each_line(connection, in, most_line,
-                 [&](const std::string& line) { on_message(link, connection, parse_message(line)); });
+                 [&](const std::string& line) { on_message(peer, connection, parse_message(line)); });
 }
 
-/// Guards against a machine that vanished, or one connection that leads nowhere any more: it stays open and
-/// quiet for ever.
-void ConverterBackend::watch(ExchangeId id) {
-  auto& link = links_[id];
-  const double now = clock_.now_ms();
-  if (link.gone != 0 && now - link.gone >= gone_after_ms) {
-    // Guards against calls that nobody ends: what is gone sends no releases any more.
-    router_.exchange_lost(id, now);
-    // Guards against growth: converters are replaced all day, each by one with a new id.
-    if (link.attempts.empty()) return drop(id);
+/// Runs the periodic checks of one converter. Detects a machine that vanished or a single dead connection,
+/// which would otherwise stay open and silent for ever.
+void ConverterBackend::check_peer(ExchangeId id) {
+  auto& peer = peers_[id];
+  const double now_ms = clock_.now_ms();
+  if (peer.gone_since_ms != 0 && now_ms - peer.gone_since_ms >= gone_grace_period_ms) {
+    // A converter that is gone sends no more releases, so its calls must be ended here.
+    router_.exchange_lost(id, now_ms);
+    // Converters are replaced all day, each by one with a new id: keeping their state would leak memory.
+    if (peer.attempts.empty()) return remove_peer(id);
   }
-  std::erase_if(probes_, [now](const auto& each) { return now - each.second.second >= probe_kept_ms; });
-  std::erase_if(link.unheard, [now](const auto& each) { return now - each.second.at >= unheard_kept_ms; });
-  timers_.schedule(now + watch_every_ms, [this, id] { watch(id); });
-  if (link.attempts.empty()) return;  // nothing is out and nothing stands
-  if (link.down != 0 && now - link.down >= down_after_ms) router_.exchange_lost(id, now);
-  if (link.unreached != 0) {
-    if (now - link.unreached >= lost_after_ms) router_.exchange_lost(id, now);
+  std::erase_if(probes_,
+                [now_ms](const auto& each) { return now_ms - each.second.second >= probe_timeout_ms; });
+  std::erase_if(peer.unacknowledged_releases, [now_ms](const auto& each) {
+    return now_ms - each.second.sent_at_ms >= unacknowledged_release_retention_ms;
+  });
+  timers_.schedule(now_ms + check_interval_ms, [this, id] { check_peer(id); });
+  if (peer.attempts.empty()) return;  // no attempt is in flight and no call is established
+  if (peer.failing_tests_since_ms != 0 && now_ms - peer.failing_tests_since_ms >= failing_tests_timeout_ms)
+    router_.exchange_lost(id, now_ms);
+  if (peer.unreachable_since_ms != 0) {
+    if (now_ms - peer.unreachable_since_ms >= unreachable_timeout_ms) router_.exchange_lost(id, now_ms);
     return;
   }
-  double told_last = 0;
-  for (const auto& line : link.lines) told_last = std::max(told_last, line.open ? line.told : 0);
-  for (auto& line : link.lines) {
-    if (!line.open) continue;
-    // The state of the group goes on all connections: one that lacks what the other has brought is likely
-    // dead, and so is soon the only one left if it is kept.
-    const bool behind = told_last - line.heard >= heard_apart_ms;
-    const bool other_told = told_last > line.tested_at;
-    if (line.tested_at != 0 && now - line.tested_at >= (other_told ? behind_wait_ms : test_wait_ms)) {
-      net_.close(line.connection, reason::silent);
-    } else if (line.tested_at == 0 && (behind || now - line.heard >= silent_after_ms)) {
-      line.tested_at = now;
-      send_test(link, line.connection, 0);
+  double latest_group_state_ms = 0;
+  for (const auto& state : peer.connections)
+    latest_group_state_ms = std::max(latest_group_state_ms, state.open ? state.last_group_state_ms : 0);
+  for (auto& state : peer.connections) {
+    if (!state.open) continue;
+    // A converter reports its group state on all its connections. One that did not receive what the other
+    // received is probably dead; if it were kept, it could soon be the only one left.
+    const bool lagging = latest_group_state_ms - state.last_received_ms >= max_receive_lag_ms;
+    const bool other_reported = latest_group_state_ms > state.test_sent_at_ms;
+    if (state.test_sent_at_ms != 0 &&
+        now_ms - state.test_sent_at_ms >= (other_reported ? lagging_test_timeout_ms : test_timeout_ms)) {
+      net_.close(state.handle, reason::silent);
+    } else if (state.test_sent_at_ms == 0 &&
+               (lagging || now_ms - state.last_received_ms >= silence_before_test_ms)) {
+      state.test_sent_at_ms = now_ms;
+      send_test(peer, state.handle, 0);
     }
   }
 }
 
-/// Forgets a converter that is gone for good.
-void ConverterBackend::drop(ExchangeId id) {
-  auto& link = links_[id];
-  for (auto& line : link.lines) {
-    if (line.connection != no_handle) net_.close(line.connection, reason::withdrawn);
-    timers_.cancel(line.retry);
+/// Removes a converter that is gone for good.
+void ConverterBackend::remove_peer(ExchangeId id) {
+  auto& peer = peers_[id];
+  for (auto& state : peer.connections) {
+    if (state.handle != no_handle) net_.close(state.handle, reason::withdrawn);
+    timers_.cancel(state.reconnect_timer);
   }
-  if (context_) {
+  if (tls_context_) {
     admission_->remove_converter(id);
-    context_->sessions().drop(id.value);
+    tls_context_->sessions().drop(id.value);
   }
-  links_.erase(id);
+  peers_.erase(id);
 }
 
 // ---- Attempts -------------------------------------------------------------------------------------------
 
 void ConverterBackend::send_attempt(Handle attempt, ExchangeId exchange, const Request& request,
                                     double time_left_ms) {
-  const auto it = links_.find(exchange);
-  if (it == links_.end()) return router_.attempt_ended(attempt, {.result = AttemptResult::connect_failed});
-  auto& link = it->second;
+  const auto it = peers_.find(exchange);
+  if (it == peers_.end()) return router_.attempt_ended(attempt, {.result = AttemptResult::connect_failed});
+  auto& peer = it->second;
   Message message;
   message.op = Op::offer;
   message.call_id = request.wire_id;
@@ -367,169 +385,174 @@
   message.description = request.body;
   attempts_[attempt] = {exchange, request.wire_id, no_handle, serialize_message(message),
                         clock_.now_ms() + time_left_ms};
-  link.unheard.erase(request.wire_id);  // an end said before must not follow the new attempt
-  link.attempts[request.wire_id] = attempt;
-  if (const auto connection = open_connection(link); connection != no_handle) {
+  peer.unacknowledged_releases.erase(request.wire_id);  // an earlier release must not follow the new attempt
+  peer.attempts[request.wire_id] = attempt;
+  if (const auto connection = select_connection(peer); connection != no_handle) {
     return write_set_up(attempt, connection);
   }
-  link.waiting.push_back(attempt);
-  bool coming = false;
-  for (std::size_t i = 0; i < held_connections; ++i) {
-    coming = coming || link.lines[i].connection != no_handle;
+  peer.waiting_attempts.push_back(attempt);
+  bool any_connecting_or_open = false;
+  for (std::size_t i = 0; i < connections_per_converter; ++i) {
+    any_connecting_or_open = any_connecting_or_open || peer.connections[i].handle != no_handle;
   }
-  if (!coming) open(link, 0);
+  if (!any_connecting_or_open) connect(peer, 0);
 }
 
 void ConverterBackend::write_set_up(Handle attempt, Handle connection) {
-  auto& out = attempts_[attempt];
-  out.connection = connection;
-  const auto line = std::move(out.line);
+  auto& attempt_state = attempts_[attempt];
+  attempt_state.connection = connection;
+  const auto line = std::move(attempt_state.serialized_offer);
   if (net_.write(connection, line)) return;
-  // The write ended the connection, which ends its set-ups; one that it did not know of ends here.
+  // The failed write ended the connection, and on_ended() its set-ups; one that it did not find ends here.
   if (!attempts_.contains(attempt)) return;
-  forget(attempt);
+  erase_attempt(attempt);
   router_.attempt_ended(attempt, {.result = AttemptResult::reset});
 }
 
-void ConverterBackend::forget(Handle attempt) {
+void ConverterBackend::erase_attempt(Handle attempt) {
   const auto it = attempts_.find(attempt);
   if (it == attempts_.end()) return;
-  auto& link = links_[it->second.exchange];
-  std::erase(link.waiting, attempt);
-  link.attempts.erase(it->second.call_id);
+  auto& peer = peers_[it->second.exchange];
+  std::erase(peer.waiting_attempts, attempt);
+  peer.attempts.erase(it->second.call_id);
   attempts_.erase(it);
 }
 
 void ConverterBackend::abandon_attempt(Handle attempt) {
   const auto it = attempts_.find(attempt);
   if (it == attempts_.end()) return;
-  const auto out = it->second;
-  forget(attempt);
-  // A set-up that still waited for its connection never left.
-  if (out.connection != no_handle) say_end(links_[out.exchange], out.call_id, out.connection);
+  const auto attempt_state = it->second;
+  erase_attempt(attempt);
+  // A set-up that still waited for a connection was never sent.
+  if (attempt_state.connection != no_handle)
+    send_release(peers_[attempt_state.exchange], attempt_state.call_id, attempt_state.connection);
 }
 
 void ConverterBackend::release_call(Handle attempt) {
   const auto it = attempts_.find(attempt);
   if (it == attempts_.end()) return;
-  const auto out = it->second;
-  forget(attempt);
-  say_end(links_[out.exchange], out.call_id, out.connection);
+  const auto attempt_state = it->second;
+  erase_attempt(attempt);
+  send_release(peers_[attempt_state.exchange], attempt_state.call_id, attempt_state.connection);
 }
 
-/// Guards against a release that is written on a connection already dead: until the converter confirms it,
-/// it goes once more when its connection ends.
-void ConverterBackend::say_end(Link& link, const std::string& call, Handle preferred) {
+/// Sends a release, or queues it until a connection is open. It may have been written to a dead connection:
+/// until the converter acknowledges it, it is sent again when that connection ends.
+void ConverterBackend::send_release(Peer& peer, const std::string& call_id, Handle preferred) {
   Message message;
-  message.call_id = call;
+  message.call_id = call_id;
   message.code = cause::normal;
   const auto line = serialize_message(message);
-  for (const auto connection : {preferred, open_connection(link)}) {
+  for (const auto connection : {preferred, select_connection(peer)}) {
     if (connection == no_handle || !net_.write(connection, line)) continue;
-    if (link.unheard.size() < most_unsaid) link.unheard[call] = {connection, clock_.now_ms()};
+    if (peer.unacknowledged_releases.size() < max_queued_releases)
+      peer.unacknowledged_releases[call_id] = {connection, clock_.now_ms()};
     return;
   }
-  if (link.unsaid.size() < most_unsaid) link.unsaid.push_back(call);
+  if (peer.queued_releases.size() < max_queued_releases) peer.queued_releases.push_back(call_id);
 }
 
-void ConverterBackend::release_at_all_converters(const std::string& call) {
-  for (auto& [id, link] : links_) say_end(link, call, no_handle);
+void ConverterBackend::release_at_all_converters(const std::string& call_id) {
+  for (auto& [id, peer] : peers_) send_release(peer, call_id, no_handle);
 }
 
-void ConverterBackend::send_test(Link& link, Handle connection, int why) {
+void ConverterBackend::send_test(Peer& peer, Handle connection, int code) {
   std::array<char, 24> id{};
-  std::snprintf(id.data(), id.size(), "%016llx", static_cast<unsigned long long>(++last_test_));
+  std::snprintf(id.data(), id.size(), "%016llx", static_cast<unsigned long long>(++last_test_id_));
   Message message;
   message.op = Op::test;
   message.call_id = id.data();
-  message.code = why;
-  if (why == 1) probes_[message.call_id] = {link.converter.entry.exchange, clock_.now_ms()};
+  message.code = code;
+  if (code == 1) probes_[message.call_id] = {peer.converter.entry.exchange, clock_.now_ms()};
   net_.write(connection, serialize_message(message));
 }
 
 void ConverterBackend::probe(ExchangeId exchange) {
-  const auto it = links_.find(exchange);
-  const auto connection = it == links_.end() ? no_handle : open_connection(it->second);
+  const auto it = peers_.find(exchange);
+  const auto connection = it == peers_.end() ? no_handle : select_connection(it->second);
   if (connection == no_handle) return router_.exchange_reported(exchange, {}, false);
   send_test(it->second, connection, 1);
 }
 
-// ---- What converters say --------------------------------------------------------------------------------
+// ---- Messages from converters ---------------------------------------------------------------------------
 
-LoadReport ConverterBackend::load_of(const Message& message) const {
+LoadReport ConverterBackend::load_report_of(const Message& message) const {
   const auto* load = message.field("load");
   return load == nullptr ? LoadReport{} : parse_load_report(*load, config_.columns);
 }
 
-void ConverterBackend::on_message(Link& link, Handle connection, const Message& message) {
-  const auto id = link.converter.entry.exchange;
+void ConverterBackend::on_message(Peer& peer, Handle connection, const Message& message) {
+  const auto id = peer.converter.entry.exchange;
   const bool failed_test =
       message.op == Op::tested && message.code.value_or(1) == 0 && !probes_.contains(message.call_id);
   if (!failed_test) {
-    link.down = 0;
-  } else if (link.down == 0) {
-    link.down = clock_.now_ms();
+    peer.failing_tests_since_ms = 0;
+  } else if (peer.failing_tests_since_ms == 0) {
+    peer.failing_tests_since_ms = clock_.now_ms();
   }
   switch (message.op) {
     case Op::ringing:
       return;
     case Op::ended:
-      link.unheard.erase(message.call_id);
+      peer.unacknowledged_releases.erase(message.call_id);
       return;
     case Op::group:
-      link.state_told = true;
-      if (const auto at = lines_.find(connection); at != lines_.end()) {
-        link.lines[at->second.line].told = clock_.now_ms();
+      peer.state_reported = true;
+      if (const auto location = locations_.find(connection); location != locations_.end()) {
+        peer.connections[location->second.index].last_group_state_ms = clock_.now_ms();
       }
-      // Each connection brings the same news, and the later one would bring older news after newer.
-      if (connection != open_connection(link)) return;
-      return router_.exchange_reported(id, load_of(message));
+      // Each connection delivers the same states; one that lags would deliver older ones after newer ones.
+      if (connection != select_connection(peer)) return;
+      return router_.exchange_reported(id, load_report_of(message));
     case Op::tested: {
       const auto probe = probes_.find(message.call_id);
       if (probe == probes_.end()) return;
-      const double elapsed = clock_.now_ms() - probe->second.second;
+      const double elapsed_ms = clock_.now_ms() - probe->second.second;
       probes_.erase(probe);
-      return router_.exchange_reported(id, load_of(message), message.code.value_or(1) != 0, elapsed);
+      return router_.exchange_reported(id, load_report_of(message), message.code.value_or(1) != 0,
+                                       elapsed_ms);
     }
     case Op::accept: {
       if (!message.description) throw Unreadable{reason::malformed};
-      const auto it = link.attempts.find(message.call_id);
-      if (it != link.attempts.end()) return router_.attempt_succeeded(it->second, *message.description);
-      // It stands for nobody: the word that it was given up has crossed it, or a restart lies between.
-      return say_end(link, message.call_id, connection);
+      const auto it = peer.attempts.find(message.call_id);
+      if (it != peer.attempts.end()) return router_.attempt_succeeded(it->second, *message.description);
+      // No request waits for it: it crossed the release of an abandoned attempt, or this process restarted.
+      return send_release(peer, message.call_id, connection);
     }
     case Op::end:
-      return on_end(link, connection, message);
+      return on_end_message(peer, connection, message);
     case Op::offer:
     case Op::test:
       break;
   }
-  throw Unreadable{reason::unknown_op};  // nothing that a converter may say
+  throw Unreadable{reason::unknown_op};  // converters do not send these
 }
 
-void ConverterBackend::on_end(Link& link, Handle connection, const Message& message) {
-  const int why = message.code.value_or(cause::normal);
-  const auto it = link.attempts.find(message.call_id);
-  if (it == link.attempts.end()) {
-    // Only what ends a standing call is passed on: a refusal for an unknown id ends a set-up given up.
-    if (why == cause::normal || why == cause::temporary_failure) stray_(message.call_id, why);
+void ConverterBackend::on_end_message(Peer& peer, Handle connection, const Message& message) {
+  const int cause_code = message.code.value_or(cause::normal);
+  const auto it = peer.attempts.find(message.call_id);
+  if (it == peer.attempts.end()) {
+    // Only the end of an established call is passed on; a refusal of an unknown id belongs to an abandoned
+    // set-up.
+    if (cause_code == cause::normal || cause_code == cause::temporary_failure)
+      on_unknown_call_end_(message.call_id, cause_code);
     return;
   }
   const auto attempt = it->second;
   AttemptOutcome outcome;
-  outcome.report = load_of(message);
+  outcome.report = load_report_of(message);
   if (router_.is_established(attempt)) {
-    outcome.result = why == cause::normal ? AttemptResult::ended : AttemptResult::reset;
-    Message heard;
-    heard.op = Op::ended;
-    heard.call_id = message.call_id;
-    net_.write(connection, serialize_message(heard));
+    outcome.result = cause_code == cause::normal ? AttemptResult::ended : AttemptResult::reset;
+    Message acknowledgement;
+    acknowledgement.op = Op::ended;
+    acknowledgement.call_id = message.call_id;
+    net_.write(connection, serialize_message(acknowledgement));
   } else {
-    outcome.result = result_of(why);
+    outcome.result = result_of(cause_code);
     if (const auto* note = message.field("note")) outcome.cause = cause_of(*note);
     outcome.wait_hint_ms = std::max(0.0, message.number("waited", 0));
   }
-  forget(attempt);
+  erase_attempt(attempt);
   router_.attempt_ended(attempt, outcome);
 }
 
--- a/src/platform/converter_backend.hpp
+++ b/src/platform/converter_backend.hpp
@@ -1,4 +1,5 @@
-// The platform's converters: connections held to each, attempts and standing calls on them.
+// The backend of the platform: holds connections to each converter, sends attempts on them and keeps track of
+// the calls established there.
 #pragma once
 
 #include <array>
@@ -19,25 +20,27 @@
 
 namespace heathturn {
 
+/// Sends attempts to the platform's converters and watches the state of their connections.
 class ConverterBackend : public Backend, public ConnectionUser {
  public:
   ConverterBackend(Clock& clock, TimerQueue& timers, Connections& net, Router& router, const Config& config);
-  /// Converters that the list names, or that it names anew. `whole`: those it leaves out are gone.
+  /// Adds or changes the listed converters. In a snapshot, converters that are not listed are gone.
   void update_list(const std::vector<Converter>& list, bool is_snapshot);
-  /// Told of a converter's word on a call that this process never had.
-  void set_unknown_end_handler(std::function<void(const std::string&, int)> stray) {
-    stray_ = std::move(stray);
+  /// The handler gets the id and cause code of a call that a converter ended and this process has no record
+  /// of.
+  void set_unknown_call_end_handler(std::function<void(const std::string&, int)> handler) {
+    on_unknown_call_end_ = std::move(handler);
   }
-  /// Cuts a call whose converter is not known.
-  void release_at_all_converters(const std::string& call);
-  /// Each converter in service has told the state of its group.
+  /// Releases a call whose converter is not known.
+  void release_at_all_converters(const std::string& call_id);
+  /// Each converter in service has reported the state of its group.
   [[nodiscard]] bool all_states_reported() const;
-  /// Whether some converter has, or had, this number.
+  /// Whether any converter has, or had, this number.
   [[nodiscard]] bool is_known_number(maddershed::ExchangeNumber number) const {
     return numbers_.contains(number);
   }
   [[nodiscard]] std::vector<ConverterView> view() const;
-  /// Connections opened from now on speak TLS by this context, as the admission allows.
+  /// Uses TLS on connections opened from now on, whose handshakes are limited by these settings.
   void enable_tls(std::shared_ptr<tls::Context> context, const handshakes::Settings& settings);
 
   void send_attempt(Handle attempt, ExchangeId exchange, const Request& request,
@@ -51,78 +54,80 @@
   void on_ended(Handle connection, const char* reason) override;
 
  private:
-  static constexpr std::size_t held_connections = 2;
-  struct Line {
-    Handle connection = no_handle;
+  static constexpr std::size_t connections_per_converter = 2;
+  /// One of the connections held to a converter. Times are Unix times in ms.
+  struct ConnectionState {
+    Handle handle = no_handle;
     bool open = false;
-    bool spoken = false;   ///< something has come
-    double heard = 0;      ///< when anything came last
-    double told = 0;       ///< when the state of the group came last
-    double tested_at = 0;  ///< a test is unanswered since; 0: none
-    TimerQueue::Key retry;
-    handshakes::Kind admitted = handshakes::Kind::full;  ///< with TLS
-    double since = 0;                                    ///< with TLS: when it was begun
+    bool received_any = false;
+    double last_received_ms = 0;
+    double last_group_state_ms = 0;  ///< when the latest group state was received
+    double test_sent_at_ms = 0;      ///< of the unanswered test; 0: none
+    TimerQueue::Key reconnect_timer;
+    handshakes::Kind admitted_kind = handshakes::Kind::full;  ///< with TLS
+    double started_at_ms = 0;                                 ///< with TLS: start of the handshake
   };
-  struct Said {
+  struct UnacknowledgedRelease {
     Handle connection = no_handle;
-    double at = 0;
+    double sent_at_ms = 0;
   };
-  struct Link {
+  /// The state of one converter.
+  struct Peer {
     Converter converter;
-    std::array<Line, held_connections> lines;
-    std::size_t preferred = 0;  ///< the line for set-ups, whose word on the group counts
-    std::unordered_map<std::string, Handle> attempts;  ///< by call: out or standing
-    std::vector<Handle> waiting;                       ///< attempts until a connection is open
-    std::vector<std::string> unsaid;                   ///< calls to release until a connection is open
-    std::unordered_map<std::string, Said> unheard;     ///< releases not confirmed yet, by call
-    double retry_ms = 0;
-    double unreached = 0;  ///< since when no connection is open; 0: one is
-    double down = 0;       ///< since when it fails its tests and says nothing else; 0: it does not
-    double gone = 0;       ///< since when the list has it as gone; 0: it does not
-    bool state_told = false;
-    bool own = false;
+    std::array<ConnectionState, connections_per_converter> connections;
+    std::size_t preferred = 0;  ///< index of the connection for set-ups, whose group states are used
+    std::unordered_map<std::string, Handle> attempts;  ///< by call id: in flight or established
+    std::vector<Handle> waiting_attempts;              ///< until a connection is open
+    std::vector<std::string> queued_releases;          ///< call ids, until a connection is open
+    std::unordered_map<std::string, UnacknowledgedRelease> unacknowledged_releases;  ///< by call id
+    double reconnect_delay_ms = 0;
+    double unreachable_since_ms = 0;    ///< since when no connection is open; 0: one is
+    double failing_tests_since_ms = 0;  ///< since when it only sends failed tests; 0: it does not
+    double gone_since_ms = 0;           ///< since when the list reports it as gone; 0: it does not
+    bool state_reported = false;        ///< at least one group state was received
+    bool is_own_exchange = false;
   };
-  struct Out {
+  struct AttemptState {
     ExchangeId exchange;
     std::string call_id;
-    Handle connection = no_handle;  ///< none while it waits for one
-    std::string line;
-    double due = 0;  ///< of no use after it
+    Handle connection = no_handle;  ///< none while the attempt waits for one
+    std::string serialized_offer;
+    double deadline_ms = 0;
   };
-  struct At {
+  struct ConnectionLocation {
     ExchangeId exchange;
-    std::size_t line = 0;
+    std::size_t index = 0;  ///< in Peer::connections
   };
-  void open(Link& link, std::size_t line);
-  void open_later(Link& link, std::size_t line);
-  void list_for_admission(const Link& link);
-  void open_at(Link& link, std::size_t line, double time);
-  Handle open_secured(Link& link, std::size_t line);
+  void connect(Peer& peer, std::size_t index);
+  void reconnect_later(Peer& peer, std::size_t index);
+  void register_for_admission(const Peer& peer);
+  void connect_at(Peer& peer, std::size_t index, double time_ms);
+  Handle connect_tls(Peer& peer, std::size_t index);
   void write_set_up(Handle attempt, Handle connection);
-  void fail_waiting(Link& link);
-  void on_message(Link& link, Handle connection, const Message& message);
-  void on_end(Link& link, Handle connection, const Message& message);
-  void forget(Handle attempt);
-  void say_end(Link& link, const std::string& call, Handle preferred);
-  void send_test(Link& link, Handle connection, int why);
-  void watch(ExchangeId exchange);
-  void drop(ExchangeId exchange);
-  [[nodiscard]] static Handle open_connection(Link& link);
-  [[nodiscard]] maddershed::LoadReport load_of(const Message& message) const;
+  void fail_waiting_attempts(Peer& peer);
+  void on_message(Peer& peer, Handle connection, const Message& message);
+  void on_end_message(Peer& peer, Handle connection, const Message& message);
+  void erase_attempt(Handle attempt);
+  void send_release(Peer& peer, const std::string& call_id, Handle preferred);
+  void send_test(Peer& peer, Handle connection, int code);
+  void check_peer(ExchangeId exchange);
+  void remove_peer(ExchangeId exchange);
+  [[nodiscard]] static Handle select_connection(Peer& peer);
+  [[nodiscard]] maddershed::LoadReport load_report_of(const Message& message) const;
 
   Clock& clock_;
   TimerQueue& timers_;
   Connections& net_;
   Router& router_;
   const Config& config_;
-  std::function<void(const std::string&, int)> stray_;
-  std::map<ExchangeId, Link> links_;
+  std::function<void(const std::string&, int)> on_unknown_call_end_;
+  std::map<ExchangeId, Peer> peers_;
   std::set<maddershed::ExchangeNumber> numbers_;
-  std::unordered_map<Handle, At> lines_;  ///< by connection
-  std::unordered_map<Handle, Out> attempts_;
-  std::unordered_map<std::string, std::pair<ExchangeId, double>> probes_;  ///< by id: when sent
-  std::uint64_t last_test_ = 0;
-  std::shared_ptr<tls::Context> context_;  ///< null: plain
+  std::unordered_map<Handle, ConnectionLocation> locations_;  ///< by connection
+  std::unordered_map<Handle, AttemptState> attempts_;
+  std::unordered_map<std::string, std::pair<ExchangeId, double>> probes_;  ///< by test id: when sent
+  std::uint64_t last_test_id_ = 0;
+  std::shared_ptr<tls::Context> tls_context_;  ///< null: no TLS
   std::unique_ptr<handshakes::Admission> admission_;
 };
 
--- a/src/platform/message.cpp
+++ b/src/platform/message.cpp
@@ -14,8 +14,8 @@
 namespace heathturn {
 namespace {
 
-constexpr std::array<std::string_view, 8> names = {"offer", "ringing", "accept", "end",
-                                                   "ended", "test",    "tested", "group"};
+constexpr std::array<std::string_view, 8> op_names = {"offer", "ringing", "accept", "end",
+                                                      "ended", "test",    "tested", "group"};
 
 std::string text_of(const rapidjson::Value& value) { return {value.GetString(), value.GetStringLength()}; }
 
@@ -26,7 +26,7 @@
   return {buffer.data(), std::to_chars(buffer.data(), buffer.data() + 32, value.GetDouble()).ptr};
 }
 
-bool is_call(const std::string& id) {
+bool is_call_id(const std::string& id) {
   return id.size() == 16 && id.find_first_not_of("0123456789abcdefABCDEF") == std::string::npos;
 }
 
@@ -37,9 +37,9 @@
   return value;
 }
 
-/// The figures of a report go by the simulator's words or by those of the settings.
-std::string_view settings_word(std::string_view name) {
-  constexpr std::array<std::pair<std::string_view, std::string_view>, 8> words = {
+/// Load reports name their values either as the simulator does or as the settings do. Returns the latter.
+std::string_view settings_name_of(std::string_view name) {
+  constexpr std::array<std::pair<std::string_view, std::string_view>, 8> settings_names = {
       {{"x0", "spare"},
        {"x1", "total"},
        {"util", "utilization"},
@@ -48,8 +48,8 @@
        {"latency_ms", "recent_ms"},
        {"qps", "allowed"},
        {"eps", "cut_by"}}};
-  for (const auto& [wire, word] : words) {
-    if (name == wire) return word;
+  for (const auto& [wire, settings_name] : settings_names) {
+    if (name == wire) return settings_name;
   }
   return name;
 }
@@ -63,30 +63,30 @@
   return nullptr;
 }
 
-double Message::number(std::string_view name, double otherwise) const {
+double Message::number(std::string_view name, double fallback) const {
   const auto* value = field(name);
-  return value == nullptr ? otherwise : to_number(*value).value_or(otherwise);
+  return value == nullptr ? fallback : to_number(*value).value_or(fallback);
 }
 
 Message parse_message(const std::string& line) {
   rapidjson::Document json;
-  // Iterative: thousands of nested brackets must not take the stack.
+  // Iterative, so that thousands of nested brackets cannot overflow the stack.
   json.Parse<rapidjson::kParseIterativeFlag>(line.data(), line.size());
   if (json.HasParseError() || !json.IsObject()) throw Unreadable{reason::malformed};
   Message message;
   const auto op = json.FindMember("op");
   if (op == json.MemberEnd() || !op->value.IsString()) throw Unreadable{reason::malformed};
-  const auto word = text_of(op->value);
+  const auto op_name = text_of(op->value);
   std::size_t index = 0;
-  while (index < names.size() && names[index] != word) ++index;
-  if (index == names.size()) throw Unreadable{reason::unknown_op};
+  while (index < op_names.size() && op_names[index] != op_name) ++index;
+  if (index == op_names.size()) throw Unreadable{reason::unknown_op};
   message.op = static_cast<Op>(index);
   if (const auto call = json.FindMember("call"); call != json.MemberEnd()) {
     if (!call->value.IsString()) throw Unreadable{reason::malformed};
     message.call_id = text_of(call->value);
   }
-  const bool about_call = message.op != Op::group && message.op != Op::test && message.op != Op::tested;
-  if (about_call && !is_call(message.call_id)) throw Unreadable{reason::malformed};
+  const bool needs_call_id = message.op != Op::group && message.op != Op::test && message.op != Op::tested;
+  if (needs_call_id && !is_call_id(message.call_id)) throw Unreadable{reason::malformed};
   if (const auto with = json.FindMember("with"); with != json.MemberEnd() && !with->value.IsNull()) {
     if (!with->value.IsObject()) throw Unreadable{reason::malformed};
     for (const auto& member : with->value.GetObject()) {
@@ -113,19 +113,19 @@
 std::string serialize_message(const Message& message) {
   rapidjson::StringBuffer out;
   rapidjson::Writer<rapidjson::StringBuffer> json(out);
-  const auto put = [&json](std::string_view text) {
+  const auto write_string = [&json](std::string_view text) {
     json.String(text.data(), static_cast<rapidjson::SizeType>(text.size()));
   };
   json.StartObject();
   json.Key("op");
-  put(names[static_cast<std::size_t>(message.op)]);
+  write_string(op_names[static_cast<std::size_t>(message.op)]);
   json.Key("call");
-  put(message.call_id);
+  write_string(message.call_id);
   json.Key("with");
   json.StartObject();
   for (const auto& [key, value] : message.fields) {
-    put(key);
-    put(value);
+    write_string(key);
+    write_string(value);
   }
   json.EndObject();
   if (message.code) {
@@ -134,7 +134,7 @@
   }
   if (message.description) {
     json.Key("desc");
-    put(*message.description);
+    write_string(*message.description);
   }
   json.EndObject();
   return std::string(out.GetString(), out.GetSize()) + "\n";
@@ -159,13 +159,13 @@
 }
 
 maddershed::LoadReport parse_load_report(const std::string& text, const std::vector<std::string>& columns) {
-  std::vector<float> figures(columns.size(), -1.0F);
+  std::vector<float> values(columns.size(), -1.0F);
   for (const auto& [name, value] : parse_named_numbers(text).values) {
     for (std::size_t i = 0; i < columns.size(); ++i) {
-      if (columns[i] == name || columns[i] == settings_word(name)) figures[i] = static_cast<float>(value);
+      if (columns[i] == name || columns[i] == settings_name_of(name)) values[i] = static_cast<float>(value);
     }
   }
-  return maddershed::to_report(columns, figures);
+  return maddershed::to_report(columns, values);
 }
 
 }  // namespace heathturn
