--- a/src/platform/converter_backend.cpp
+++ b/src/platform/converter_backend.cpp
@@ -16,7 +16,7 @@
 constexpr double max_reconnect_delay_ms = 1000;
 constexpr std::size_t max_queued_releases = 4096;  // per converter; also the limit for unacknowledged ones
 constexpr double check_interval_ms = 100;
-// A connection that received its latest_deadline_ms message earlier than the other one by more than this is
+// A connection that received its latest message earlier than the other one by more than this is
 // lagging.
 constexpr double max_receive_lag_ms = 150;
 constexpr double lagging_test_timeout_ms = 400;  // for a test on a lagging connection
@@ -35,7 +35,7 @@
 
 FailureCause cause_of(const std::string& note) {
   if (note == "all_trunks_busy") return FailureCause::no_circuit;
-  if (note == "via_release_no") return FailureCause::tandem_refused;
+  if (note == "via_said_no") return FailureCause::tandem_refused;
   if (note == "far_cpu_full") return FailureCause::destination_processor_full;
   if (note == "cpu_full") return FailureCause::processor_full;
   if (note == "number_busy") return FailureCause::number_busy;
