--- a/tests/router/codec_test.cpp
+++ b/tests/router/codec_test.cpp
@@ -19,18 +19,18 @@
   return "";
 }
 
-TEST_CASE("a platform message goes there and back unchanged") {
+TEST_CASE("a platform message is unchanged after serializing and parsing") {
   const auto message = parse_message(
       R"({"op":"offer","call":"9b1f03aa5c7e2d41","with":{"class":"voice","left":1500},"desc":"a\r\n\u00e9\"b"})");
   CHECK(message.op == Op::offer);
   CHECK(message.number("left", 0) == 1500);
   CHECK(*message.description == "a\r\n\xc3\xa9\"b");
-  const auto again = parse_message(serialize_message(message));
-  CHECK(again.fields == message.fields);
-  CHECK(again.description == message.description);
+  const auto parsed = parse_message(serialize_message(message));
+  CHECK(parsed.fields == message.fields);
+  CHECK(parsed.description == message.description);
 }
 
-TEST_CASE("an unreadable line is named by its reason") {
+TEST_CASE("an invalid line is rejected with its reason code") {
   CHECK(reason_for("{") == reason::malformed);
   CHECK(reason_for("[]") == reason::malformed);
   CHECK(reason_for(R"({"op":"dance","call":"9b1f03aa5c7e2d41"})") == reason::unknown_op);
@@ -40,7 +40,7 @@
   CHECK(reason_for(std::string(16000, '[')) == reason::malformed);
 }
 
-TEST_CASE("a load report is read by either set of names") {
+TEST_CASE("a load report may use the simulator's names or those of the settings") {
   const std::vector<std::string> columns = {"spare", "total", "cut_by", "recent_ms"};
   const auto load = parse_load_report("x0:12;x1:40;eps:0.5;junk;recent_ms:-1;new:3", columns);
   CHECK(load.free_circuits == 12);
