--- a/src/platform/converter_backend.cpp
+++ b/src/platform/converter_backend.cpp
@@ -16,8 +16,7 @@
 constexpr double max_reconnect_delay_ms = 1000;
 constexpr std::size_t max_queued_releases = 4096;  // per converter; also the limit for unacknowledged ones
 constexpr double check_interval_ms = 100;
-// A connection that received its latest message earlier than the other one by more than this is
-// lagging.
+// A connection is lagging when its latest message is older than the other one's by more than this.
 constexpr double max_receive_lag_ms = 150;
 constexpr double lagging_test_timeout_ms = 400;  // for a test on a lagging connection
 constexpr double silence_before_test_ms = 2000;  // while calls are open
