--- a/src/handshakes/admission.cpp
+++ b/src/handshakes/admission.cpp
@@ -6,163 +6,176 @@
 namespace heathturn::handshakes {
 namespace {
 
-constexpr double ease_cut = 0.5;
-constexpr double ease_step = 0.1;
-constexpr double ease_least = 0.05;
-constexpr std::uint32_t most_doublings = 10;
+// Additive increase and multiplicative decrease of Converter::rate_factor.
+constexpr double rate_factor_decrease = 0.5;   // multiplier after a slow or failed handshake
+constexpr double rate_factor_increment = 0.1;  // added after a handshake that was not slow
+constexpr double min_rate_factor = 0.05;
+constexpr std::uint32_t max_backoff_doublings = 10;
 
 }  // namespace
 
 Admission::Admission(const Settings& settings, std::uint64_t seed) : settings_(settings), random_(seed) {}
 
-/// 0 at its start, 1 once it is warm or when it started long ago.
-double Admission::warmth(const Converter& converter, double now) const {
-  if (!converter.started || settings_.cold_time_ms <= 0) return 1;
-  return std::clamp((now - *converter.started) / settings_.cold_time_ms, 0.0, 1.0);
+/// 0 at the converter's start, 1 once it is warm or when it is not known to have started recently.
+double Admission::warm_fraction(const Converter& converter, double now_ms) const {
+  if (!converter.started_ms || settings_.cold_time_ms <= 0) return 1;
+  return std::clamp((now_ms - *converter.started_ms) / settings_.cold_time_ms, 0.0, 1.0);
 }
 
-double Admission::cost_of(const Converter& converter, Kind kind) const {
-  return kind == Kind::full ? converter.full_cost : settings_.resumed_cost_ms;
+double Admission::handshake_cost_ms(const Converter& converter, Kind kind) const {
+  return kind == Kind::full ? converter.full_cost_ms : settings_.resumed_cost_ms;
 }
 
-/// ms of its processor for each ms that passes: this router's part of the share, less while it is cold.
-double Admission::rate(const Converter& converter, double now) const {
-  const double capacity = settings_.start_capacity + (1 - settings_.start_capacity) * warmth(converter, now);
-  return settings_.processor_share * capacity * converter.ease / settings_.router_count;
+/// Processor time (ms) that this router may use per ms: its part of the processor share, less while the
+/// converter is cold and after slow or failed handshakes.
+double Admission::refill_rate(const Converter& converter, double now_ms) const {
+  const double capacity =
+      settings_.start_capacity + (1 - settings_.start_capacity) * warm_fraction(converter, now_ms);
+  return settings_.processor_share * capacity * converter.rate_factor / settings_.router_count;
 }
 
-/// The time in which one handshake of each router fits into the share of them all.
-double Admission::all_routers_ms(const Converter& converter, double now, double cost) const {
-  return cost / rate(converter, now);
+/// The time that all routers together need for one handshake each within the processor share.
+double Admission::all_routers_time_ms(const Converter& converter, double now_ms, double cost_ms) const {
+  return cost_ms / refill_rate(converter, now_ms);
 }
 
-/// What is saved up is worth one full handshake at most: a burst would come from all routers alike.
-void Admission::refill(Converter& converter, double now) {
-  const double passed = std::max(0.0, now - converter.filled_at);
-  converter.filled_at = std::max(converter.filled_at, now);
-  converter.tokens = std::min(converter.full_cost, converter.tokens + passed * rate(converter, now));
+/// Saved tokens are limited to one full handshake, because all routers would use a larger burst at the same
+/// time.
+void Admission::refill(Converter& converter, double now_ms) {
+  const double passed = std::max(0.0, now_ms - converter.refilled_at_ms);
+  converter.refilled_at_ms = std::max(converter.refilled_at_ms, now_ms);
+  converter.tokens_ms =
+      std::min(converter.full_cost_ms, converter.tokens_ms + passed * refill_rate(converter, now_ms));
 }
 
-/// All routers see a restart at one moment: each takes a random place in the time that all of them need.
-void Admission::spread_out(Converter& converter, double now) {
-  const double all = all_routers_ms(converter, now, converter.full_cost);
-  converter.not_before =
-      std::max(converter.not_before, now + chance() * std::min(settings_.max_backoff_ms, all));
-  converter.tokens = converter.full_cost;  // one at its place; the random place is what spreads them
-  converter.filled_at = converter.not_before;
+/// All routers notice a restart at the same time: each waits for a random part of the time that all of them
+/// need.
+void Admission::delay_randomly(Converter& converter, double now_ms) {
+  const double all_ms = all_routers_time_ms(converter, now_ms, converter.full_cost_ms);
+  converter.not_before_ms = std::max(converter.not_before_ms,
+                                     now_ms + random_fraction() * std::min(settings_.max_backoff_ms, all_ms));
+  // Enough for one handshake at that time; the random delay alone spreads the routers.
+  converter.tokens_ms = converter.full_cost_ms;
+  converter.refilled_at_ms = converter.not_before_ms;
 }
 
-void Admission::update_converter(ExchangeId id, double now, std::optional<double> started,
-                                 std::optional<std::uint32_t> connections) {
-  const auto [it, fresh] = converters_.try_emplace(id);
+void Admission::update_converter(ExchangeId id, double now_ms, std::optional<double> started_ms,
+                                 std::optional<std::uint32_t> max_connections) {
+  const auto [it, is_new] = converters_.try_emplace(id);
   auto& converter = it->second;
-  converter.connections = connections.value_or(settings_.connections_per_converter);
-  if (!fresh && converter.started == started) return;
-  if (fresh) converter.full_cost = settings_.full_cost_ms;
-  converter.started = started;
-  converter.failures = 0;
-  converter.ease = 1;
-  converter.filled_at = now;
-  converter.tokens = converter.full_cost;
-  if (started && warmth(converter, now) < 1) spread_out(converter, now);
+  converter.max_connections = max_connections.value_or(settings_.connections_per_converter);
+  if (!is_new && converter.started_ms == started_ms) return;
+  if (is_new) converter.full_cost_ms = settings_.full_cost_ms;
+  converter.started_ms = started_ms;
+  converter.failures_in_a_row = 0;
+  converter.rate_factor = 1;
+  converter.refilled_at_ms = now_ms;
+  converter.tokens_ms = converter.full_cost_ms;
+  if (started_ms && warm_fraction(converter, now_ms) < 1) delay_randomly(converter, now_ms);
 }
 
 void Admission::remove_converter(ExchangeId id) {
   const auto it = converters_.find(id);
   if (it == converters_.end()) return;
-  under_way_ -= it->second.under_way;
+  in_flight_ -= it->second.in_flight;
   converters_.erase(it);
 }
 
-std::uint32_t Admission::allowed_connections(ExchangeId id, double now) const {
+std::uint32_t Admission::allowed_connections(ExchangeId id, double now_ms) const {
   const auto it = converters_.find(id);
   if (it == converters_.end()) return 0;
-  const double more = warmth(it->second, now) * (it->second.connections - 1);
-  return 1 + static_cast<std::uint32_t>(std::floor(more));
+  const double additional = warm_fraction(it->second, now_ms) * (it->second.max_connections - 1);
+  return 1 + static_cast<std::uint32_t>(std::floor(additional));
 }
 
-Decision Admission::request_handshake(ExchangeId id, double now, bool has_session, double deadline) {
+Decision Admission::request_handshake(ExchangeId id, double now_ms, bool has_session, double deadline_ms) {
   const auto it = converters_.find(id);
-  if (it == converters_.end()) return {false, Kind::full, now, true};
+  if (it == converters_.end()) return {false, Kind::full, now_ms, true};
   auto& converter = it->second;
-  refill(converter, now);
-  Decision out;
-  out.kind = has_session && !converter.expect_full ? Kind::resumed : Kind::full;
-  const double cost = cost_of(converter, out.kind);
-  out.retry_at_ms = converter.not_before;
-  if (converter.tokens < cost) {
-    out.retry_at_ms = std::max(out.retry_at_ms, now + (cost - converter.tokens) / rate(converter, now));
+  refill(converter, now_ms);
+  Decision decision;
+  decision.kind = has_session && !converter.expect_full ? Kind::resumed : Kind::full;
+  const double cost_ms = handshake_cost_ms(converter, decision.kind);
+  decision.retry_at_ms = converter.not_before_ms;
+  if (converter.tokens_ms < cost_ms) {
+    decision.retry_at_ms = std::max(
+        decision.retry_at_ms, now_ms + (cost_ms - converter.tokens_ms) / refill_rate(converter, now_ms));
   }
-  const bool no_place = converter.under_way >= settings_.max_in_flight_per_converter ||
-                        under_way_ >= settings_.max_in_flight ||
-                        converter.open + converter.under_way >= allowed_connections(id, now);
-  if (out.retry_at_ms <= now && !no_place) {
-    out.admitted = true;
-    converter.tokens -= cost;
-    ++converter.under_way;
-    ++under_way_;
-    return out;
+  const bool at_limit = converter.in_flight >= settings_.max_in_flight_per_converter ||
+                        in_flight_ >= settings_.max_in_flight ||
+                        converter.open_connections + converter.in_flight >= allowed_connections(id, now_ms);
+  if (decision.retry_at_ms <= now_ms && !at_limit) {
+    decision.admitted = true;
+    converter.tokens_ms -= cost_ms;
+    ++converter.in_flight;
+    ++in_flight_;
+    return decision;
   }
-  // A place comes with the end of another handshake, which nobody can tell the time of: soon, as a guess.
-  if (no_place) out.retry_at_ms = std::max(out.retry_at_ms, now + settings_.slow_handshake_ms / 4);
-  out.past_deadline = out.retry_at_ms >= deadline;
+  // The end of another handshake is needed first; when that will be is unknown, so the caller retries soon.
+  if (at_limit)
+    decision.retry_at_ms = std::max(decision.retry_at_ms, now_ms + settings_.slow_handshake_ms / 4);
+  decision.past_deadline = decision.retry_at_ms >= deadline_ms;
   ++counts_.deferred;
-  return out;
+  return decision;
 }
 
-void Admission::handshake_finished(ExchangeId id, double now, Kind admitted, Outcome outcome, bool resumed,
-                                   double elapsed) {
+void Admission::handshake_finished(ExchangeId id, double now_ms, Kind admitted, Outcome outcome, bool resumed,
+                                   double elapsed_ms) {
   const auto it = converters_.find(id);
-  if (it == converters_.end()) return;  // unlisted meanwhile, with what was under way
+  if (it == converters_.end()) return;  // removed meanwhile, with its handshakes in flight
   auto& converter = it->second;
-  if (converter.under_way == 0) return;
-  --converter.under_way;
-  --under_way_;
-  refill(converter, now);
+  if (converter.in_flight == 0) return;
+  --converter.in_flight;
+  --in_flight_;
+  refill(converter, now_ms);
   const bool may_be_full = outcome == Outcome::established ? !resumed : outcome != Outcome::refused;
-  // It may have cost more than was taken for it: the rest is owed, and paid before the next one.
+  // It may have cost more than the tokens taken for it. The difference is taken now, and may leave the
+  // balance negative.
   if (admitted == Kind::resumed && may_be_full)
-    converter.tokens -= converter.full_cost - settings_.resumed_cost_ms;
+    converter.tokens_ms -= converter.full_cost_ms - settings_.resumed_cost_ms;
   if (outcome == Outcome::established) {
-    ++converter.open;
-    converter.failures = 0;
+    ++converter.open_connections;
+    converter.failures_in_a_row = 0;
     ++(resumed ? counts_.resumed : counts_.full);
     if (resumed) {
-      converter.declined = 0;
-      if (++converter.resumed >= settings_.min_resumed_in_a_row) converter.expect_full = false;
+      converter.declined_in_a_row = 0;
+      if (++converter.resumed_in_a_row >= settings_.min_resumed_in_a_row) converter.expect_full = false;
     } else if (admitted == Kind::resumed) {
       ++counts_.declined;
-      converter.resumed = 0;
-      if (++converter.declined >= settings_.max_declined_in_a_row) converter.expect_full = true;
+      converter.resumed_in_a_row = 0;
+      if (++converter.declined_in_a_row >= settings_.max_declined_in_a_row) converter.expect_full = true;
     }
-    if (elapsed > settings_.slow_handshake_ms) {
-      converter.ease = std::max(ease_least, converter.ease * ease_cut);
+    if (elapsed_ms > settings_.slow_handshake_ms) {
+      converter.rate_factor = std::max(min_rate_factor, converter.rate_factor * rate_factor_decrease);
     } else {
-      converter.ease = std::min(1.0, converter.ease + ease_step);
+      converter.rate_factor = std::min(1.0, converter.rate_factor + rate_factor_increment);
     }
     return;
   }
   ++counts_.failed;
-  ++converter.failures;
-  // What cannot be verified is no sign of pressure, but asking again soon would help nobody either.
-  if (outcome != Outcome::not_verified) converter.ease = std::max(ease_least, converter.ease * ease_cut);
-  const double first =
-      std::max(settings_.initial_backoff_ms, all_routers_ms(converter, now, converter.full_cost));
-  const double widest =
-      std::min(settings_.max_backoff_ms,
-               std::ldexp(first, static_cast<int>(std::min(converter.failures - 1, most_doublings))));
-  converter.not_before = now + chance() * widest;
+  ++converter.failures_in_a_row;
+  // A failed verification does not indicate overload, so the rate stays. The backoff applies all the same,
+  // since an early retry would fail again.
+  if (outcome != Outcome::not_verified)
+    converter.rate_factor = std::max(min_rate_factor, converter.rate_factor * rate_factor_decrease);
+  const double first_ms =
+      std::max(settings_.initial_backoff_ms, all_routers_time_ms(converter, now_ms, converter.full_cost_ms));
+  const double widest_ms = std::min(
+      settings_.max_backoff_ms,
+      std::ldexp(first_ms,
+                 static_cast<int>(std::min(converter.failures_in_a_row - 1, max_backoff_doublings))));
+  converter.not_before_ms = now_ms + random_fraction() * widest_ms;
 }
 
-void Admission::connection_closed(ExchangeId id, double now, bool reset) {
+void Admission::connection_closed(ExchangeId id, double now_ms, bool reset) {
   const auto it = converters_.find(id);
   if (it == converters_.end()) return;
   auto& converter = it->second;
-  if (converter.open > 0) --converter.open;
-  // The last one was reset: the process has died, and every router knows it by now.
-  if (reset && converter.open == 0) {
-    converter.started = now;
-    spread_out(converter, now);
+  if (converter.open_connections > 0) --converter.open_connections;
+  // The last connection was reset: the process is taken to have died, and all routers to have noticed it.
+  if (reset && converter.open_connections == 0) {
+    converter.started_ms = now_ms;
+    delay_randomly(converter, now_ms);
   }
 }
 
--- a/src/routes/weighted_round_robin.cpp
+++ b/src/routes/weighted_round_robin.cpp
@@ -5,57 +5,60 @@
 namespace heathturn::routes {
 
 void WeightedRoundRobin::set_slots(const std::vector<Slot>& slots) {
-  double sum = 0;
-  for (const auto& each : slots) sum += each.weight;
-  std::vector<State> fresh;
-  taking_ = 0;
-  for (const auto& each : slots) {
-    State state{each.id, sum > 0 ? each.weight / sum : 0, 0};
-    if (state.share > 0) ++taking_;
-    const auto same = [&each](const State& other) { return other.id == each.id; };
-    if (const auto old = std::find_if(slots_.begin(), slots_.end(), same); old != slots_.end()) {
-      state.credit = old->credit;
-      slots_.erase(old);
-    } else if (const auto back = std::find_if(away_.begin(), away_.end(), same); back != away_.end()) {
-      state.credit = back->credit;
-      away_.erase(back);
+  double total_weight = 0;
+  for (const auto& slot : slots) total_weight += slot.weight;
+  std::vector<SlotState> new_slots;
+  weighted_count_ = 0;
+  for (const auto& slot : slots) {
+    SlotState state{slot.id, total_weight > 0 ? slot.weight / total_weight : 0, 0};
+    if (state.share > 0) ++weighted_count_;
+    const auto same_id = [&slot](const SlotState& other) { return other.id == slot.id; };
+    if (const auto present = std::find_if(slots_.begin(), slots_.end(), same_id); present != slots_.end()) {
+      state.credit = present->credit;
+      slots_.erase(present);
+    } else if (const auto absent = std::find_if(absent_slots_.begin(), absent_slots_.end(), same_id);
+               absent != absent_slots_.end()) {
+      state.credit = absent->credit;
+      absent_slots_.erase(absent);
     }
-    fresh.push_back(state);
+    new_slots.push_back(state);
   }
-  away_.insert(away_.end(), slots_.begin(), slots_.end());
-  slots_ = std::move(fresh);
-  while (away_.size() > max_absent_slots) {
-    settle(away_.front().credit);
-    away_.erase(away_.begin());
+  absent_slots_.insert(absent_slots_.end(), slots_.begin(), slots_.end());
+  slots_ = std::move(new_slots);
+  while (absent_slots_.size() > max_absent_slots) {
+    distribute_credit(absent_slots_.front().credit);
+    absent_slots_.erase(absent_slots_.begin());
   }
 }
 
-/// Credits always add up to nothing: what is owed to one that will not be heard of again is the others'.
-void WeightedRoundRobin::settle(double credit) {
-  for (auto& each : slots_) each.credit += credit * each.share;
+/// Invariant: all credits add up to 0, so the credit of a slot that is forgotten goes to the present ones.
+void WeightedRoundRobin::distribute_credit(double credit) {
+  for (auto& slot : slots_) slot.credit += credit * slot.share;
 }
 
 std::size_t WeightedRoundRobin::next() {
-  if (taking_ == 0) return no_slot;
-  const double edge = taking_ == 1 ? 0 : 1 / (2 * static_cast<double>(taking_) - 2);
-  std::size_t best = no_slot, most_owed = no_slot;
-  double soonest = 0;
+  if (weighted_count_ == 0) return no_slot;
+  // Slots with less credit than this are not eligible for the turn.
+  const double min_credit = weighted_count_ == 1 ? 0 : 1 / (2 * static_cast<double>(weighted_count_) - 2);
+  std::size_t chosen = no_slot, highest_credit = no_slot;
+  double fewest_turns_left = 0;
   for (std::size_t i = 0; i < slots_.size(); ++i) {
     auto& slot = slots_[i];
     if (slot.share <= 0) continue;
     slot.credit += slot.share;
-    if (most_owed == no_slot || slot.credit > slots_[most_owed].credit) most_owed = i;
-    if (slot.credit < edge) continue;
-    // Turns until it would be owed more than it may be.
-    const double left = (1 - edge - slot.credit) / slot.share;
-    if (best == no_slot || left < soonest) {
-      best = i;
-      soonest = left;
+    if (highest_credit == no_slot || slot.credit > slots_[highest_credit].credit) highest_credit = i;
+    if (slot.credit < min_credit) continue;
+    // Turns until its credit would exceed the upper bound, 1 - min_credit.
+    const double turns_left = (1 - min_credit - slot.credit) / slot.share;
+    if (chosen == no_slot || turns_left < fewest_turns_left) {
+      chosen = i;
+      fewest_turns_left = turns_left;
     }
   }
-  if (best == no_slot) best = most_owed;  // who is away is owed so much that nobody here is
-  slots_[best].credit -= 1;
-  return best;
+  // The absent slots may hold so much credit that no present slot is eligible.
+  if (chosen == no_slot) chosen = highest_credit;
+  slots_[chosen].credit -= 1;
+  return chosen;
 }
 
 }  // namespace heathturn::routes
--- a/tests/router/routes_test.cpp
+++ b/tests/router/routes_test.cpp
@@ -1,4 +1,5 @@
-// The route module: the trie against a plain scan, shares kept exactly, members that come and go, the door.
+// Tests of routing: the prefix trie against a linear scan, the bounds of the weighted round robin, the choice
+// of routes and candidates while members change, and the limits of a policy.
 #include <rapidcheck.h>
 
 #include <catch2/catch.hpp>
@@ -18,34 +19,35 @@
 
 #define PROPERTY(name, ...) REQUIRE(rc::check(name, __VA_ARGS__))
 
-std::string digits(std::mt19937& random, std::size_t most) {
-  std::string out(random() % (most + 1), '0');
-  for (auto& each : out) each = static_cast<char>('0' + random() % 4);
-  return out;
+std::string random_digits(std::mt19937& random, std::size_t max_length) {
+  std::string digits(random() % (max_length + 1), '0');
+  for (auto& digit : digits) digit = static_cast<char>('0' + random() % 4);
+  return digits;
 }
 
-TEST_CASE("the trie finds what a scan of all prefixes finds") {
-  PROPERTY("longest and path", [](unsigned seed, unsigned short count) {
+TEST_CASE("the prefix trie finds the same values as a scan of all prefixes") {
+  PROPERTY("longest match and all matches", [](unsigned seed, unsigned short count) {
     std::mt19937 random(seed);
     std::map<std::string, std::uint32_t> entries;
-    for (unsigned i = 0; i < count % 300U; ++i) entries.try_emplace(digits(random, 6), i);
+    for (unsigned i = 0; i < count % 300U; ++i) entries.try_emplace(random_digits(random, 6), i);
     const PrefixTrie trie({entries.begin(), entries.end()});
     for (int i = 0; i < 50; ++i) {
-      const auto number = digits(random, 9) + (i % 10 == 0 ? "x" : "");
+      const auto number = random_digits(random, 9) + (i % 10 == 0 ? "x" : "");
       std::vector<std::uint32_t> expected;
       for (const auto& [prefix, value] : entries) {
-        if (number.starts_with(prefix)) expected.push_back(value);  // the map has the shortest first
+        // The map is sorted, so shorter prefixes come first.
+        if (number.starts_with(prefix)) expected.push_back(value);
       }
-      const auto path = trie.all_matches(number);
-      RC_ASSERT(std::vector(path.values.begin(), path.values.begin() + static_cast<long>(path.size)) ==
-                expected);
+      const auto matches = trie.all_matches(number);
+      RC_ASSERT(std::vector(matches.values.begin(),
+                            matches.values.begin() + static_cast<long>(matches.size)) == expected);
       RC_ASSERT(trie.longest_match(number) == (expected.empty() ? PrefixTrie::no_value : expected.back()));
     }
   });
 }
 
-TEST_CASE("after any number of turns each has had its share, off by less than one turn") {
-  PROPERTY("the bound of weighted_round_robin.hpp", [](unsigned seed) {
+TEST_CASE("after any number of turns each slot deviates from its share by less than one turn") {
+  PROPERTY("bound for constant shares", [](unsigned seed) {
     std::mt19937 random(seed);
     const auto count = 2 + random() % 12;
     std::vector<WeightedRoundRobin::Slot> slots;
@@ -54,23 +56,23 @@
       slots.push_back({i, static_cast<double>(1 + random() % 1000)});
       sum += slots.back().weight;
     }
-    WeightedRoundRobin spread;
-    spread.set_slots(slots);
+    WeightedRoundRobin round_robin;
+    round_robin.set_slots(slots);
     std::vector<double> turns(count, 0);
     const double bound = 1 - 1 / (2 * static_cast<double>(count) - 2) + 1e-6;
     for (int k = 1; k <= 2000; ++k) {
-      ++turns[spread.next()];
+      ++turns[round_robin.next()];
       for (std::size_t i = 0; i < count; ++i)
         RC_ASSERT(std::abs(turns[i] - k * slots[i].weight / sum) <= bound);
     }
   });
 }
 
-TEST_CASE("slots that come and go stay within one turn for each slot, and what is owed is not forgotten") {
-  PROPERTY("drift under changes", [](unsigned seed) {
+TEST_CASE("with slots added and removed the deviation stays within one turn per slot, and credits are kept") {
+  PROPERTY("bound while slots change", [](unsigned seed) {
     std::mt19937 random(seed);
-    WeightedRoundRobin spread;
-    std::map<std::uint64_t, double> owed;  // by what each slot's share was at each turn
+    WeightedRoundRobin round_robin;
+    std::map<std::uint64_t, double> credits;  // by id: the sum of its shares less its turns
     std::vector<WeightedRoundRobin::Slot> slots;
     for (int k = 0; k < 3000; ++k) {
       if (k % 17 == 0) {
@@ -78,57 +80,59 @@
         for (std::uint64_t id = 0; id < 6; ++id) {
           if (random() % 3 != 0) slots.push_back({id, static_cast<double>(1 + id)});
         }
-        spread.set_slots(slots);
+        round_robin.set_slots(slots);
       }
       double sum = 0;
       for (const auto& each : slots) sum += each.weight;
-      const auto place = spread.next();
-      RC_ASSERT((place == WeightedRoundRobin::no_slot) == slots.empty());
+      const auto slot = round_robin.next();
+      RC_ASSERT((slot == WeightedRoundRobin::no_slot) == slots.empty());
       if (slots.empty()) continue;
-      for (const auto& each : slots) owed[each.id] += each.weight / sum;
-      owed[slots[place].id] -= 1;
+      for (const auto& each : slots) credits[each.id] += each.weight / sum;
+      credits[slots[slot].id] -= 1;
     }
-    for (const auto& [id, turns] : owed) RC_ASSERT(std::abs(turns) <= 6);
+    for (const auto& [id, turns] : credits) RC_ASSERT(std::abs(turns) <= 6);
   });
-  // A slot that flaps at every turn keeps its part of the turns at which it is there.
-  WeightedRoundRobin spread;
-  int had = 0;
+  // A slot that is present at every second turn gets its share of the turns at which it is present.
+  WeightedRoundRobin round_robin;
+  int turns_taken = 0;
   for (int k = 0; k < 1000; ++k) {
-    spread.set_slots(k % 2 == 0 ? std::vector<WeightedRoundRobin::Slot>{{1, 1}, {2, 1}}
-                                : std::vector<WeightedRoundRobin::Slot>{{1, 1}});
-    if (spread.next() == 1) ++had;
+    round_robin.set_slots(k % 2 == 0 ? std::vector<WeightedRoundRobin::Slot>{{1, 1}, {2, 1}}
+                                     : std::vector<WeightedRoundRobin::Slot>{{1, 1}});
+    if (round_robin.next() == 1) ++turns_taken;
   }
-  CHECK(had > 200);
-  CHECK(had < 300);
+  CHECK(turns_taken > 200);
+  CHECK(turns_taken < 300);
 }
 
-/// Settings from a text of the language.
-std::shared_ptr<const EnumConfig> site(const std::string& text) {
+/// Reads settings in the language of the site file; the required fields are added.
+std::shared_ptr<const EnumConfig> config_from_text(const std::string& text) {
   const TempFile file("listen: \"127.0.0.1:0\" suffix: \"enum.example.org\" class { name: \"a\" } " + text);
   return std::make_shared<const EnumConfig>(load_site(file.path()));
 }
 
-std::vector<std::vector<PoolMember>> listed(const EnumConfig& config) {
-  std::vector<std::vector<PoolMember>> out;
+/// The members of all pools, as the settings list them.
+std::vector<std::vector<PoolMember>> members_of(const EnumConfig& config) {
+  std::vector<std::vector<PoolMember>> members;
   for (const auto& pool : config.pools) {
-    out.emplace_back();
+    members.emplace_back();
     for (const auto& each : pool.members)
-      out.back().push_back({each.converter.name, each.weight, each.zone, true});
+      members.back().push_back({each.converter.name, each.weight, each.zone, true});
   }
-  return out;
+  return members;
 }
 
-std::string member(const std::string& name, const std::string& more = "") {
-  return "member { name: \"" + name + "\" address: \"127.0.0.1:1\" " + more + " } ";
+/// A member in the language of the site file.
+std::string member_text(const std::string& name, const std::string& fields = "") {
+  return "member { name: \"" + name + "\" address: \"127.0.0.1:1\" " + fields + " } ";
 }
 
-TEST_CASE("longest prefix, class, tenant and time choose the route; the rest goes on to shorter prefixes") {
-  const auto config = site(
+TEST_CASE("the route is chosen by longest prefix, class, tenant and time, falling back to shorter prefixes") {
+  const auto config = config_from_text(
       "class { name: \"b\" prefix: \"645\" } time_zone: \"+12:00\" "
       "tenant { name: \"tui\" network: \"10.0.0.0/8\" } tenant { name: \"matai\" network: \"10.1.0.0/16\" "
       "class: \"b\" } "
       "pool { name: \"p\" " +
-      member("p1") + "} pool { name: \"q\" " + member("q1") +
+      member_text("p1") + "} pool { name: \"q\" " + member_text("q1") +
       "} "
       "policy { name: \"slow\" deadline: \"3s\" } "
       "route { prefix: \"64\" tenant: \"tui\" to { pool: \"q\" } } "
@@ -144,38 +148,38 @@
   CHECK(table.class_of("6451", any) == 1);
   CHECK(table.class_of("641", any) == 0);
   CHECK(table.class_of("641", matai) == 1);
-  const auto route = [&](const char* number, std::uint32_t tenant, const char* at) {
-    const auto minute = units::week_spans(std::string(at) + "-24:00").value->front().from;
+  const auto route = [&](const char* number, std::uint32_t tenant, const char* time) {
+    const auto minute = units::week_spans(std::string(time) + "-24:00").value->front().from;
     const auto* found = table.find({number, table.class_of(number, tenant), tenant, minute});
     return found == nullptr ? -1 : static_cast<int>(found - config->routes.data());
   };
   CHECK(route("641", any, "Mon 12:00") == 4);
   CHECK(route("641", any, "Mon 22:00") == 3);
-  CHECK(route("641", any, "Sat 05:59") == 3);  // the night of Friday
+  CHECK(route("641", any, "Sat 05:59") == 3);  // the night that began on Friday
   CHECK(route("641", any, "Sat 06:00") == 4);
-  CHECK(route("641", any, "Mon 05:59") == 4);  // that of Sunday is none
+  CHECK(route("641", any, "Mon 05:59") == 4);  // the night that began on Sunday is not in the schedule
   CHECK(route("641", tui, "Mon 22:00") == 0);
   CHECK(route("641", matai, "Mon 12:00") == 1);
   CHECK(route("6451", any, "Sun 12:00") == 5);
-  CHECK(route("6451", any, "Mon 12:00") == 1);  // on to the shorter prefix
+  CHECK(route("6451", any, "Mon 12:00") == 1);  // falls back to the shorter prefix
   CHECK(route("611", matai, "Mon 12:00") == 2);
   CHECK(route("611", any, "Mon 12:00") == -1);
   CHECK(route("", any, "Mon 12:00") == -1);
   // 2026-12-01 was a Tuesday; 11:30 UTC is 23:30 at +12:00.
-  const double at = 1796124600000.0;
-  CHECK(units::week_text({{units::minute_of_week(at, config->zone), units::minutes_a_week}})
+  const double time_ms = 1796124600000.0;
+  CHECK(units::week_text({{units::minute_of_week(time_ms, config->zone), units::minutes_a_week}})
             .starts_with("Tue 23:30"));
 }
 
-TEST_CASE("the first choices keep the shares of pools and members, and all others follow in order") {
-  const auto config = site(
-      "pool { name: \"p\" zone: \"akl\" " + member("p1", "zone: \"akl\" weight: 3") +
-      member("p2", "zone: \"akl\"") + member("far", "zone: \"wlg\"") +
-      member("idle", "weight: 0 zone: \"akl\"") + "} pool { name: \"q\" " + member("q1") +
-      "} pool { name: \"r\" " + member("r1") + "} " +
+TEST_CASE("the first candidates keep the shares of pools and members, and all others follow in order") {
+  const auto config = config_from_text(
+      "pool { name: \"p\" zone: \"akl\" " + member_text("p1", "zone: \"akl\" weight: 3") +
+      member_text("p2", "zone: \"akl\"") + member_text("far", "zone: \"wlg\"") +
+      member_text("idle", "weight: 0 zone: \"akl\"") + "} pool { name: \"q\" " + member_text("q1") +
+      "} pool { name: \"r\" " + member_text("r1") + "} " +
       "route { to { pool: \"p\" share: \"70%\" } to { pool: \"q\" share: \"30%\" } to { pool: \"r\" } }");
   Selector selector(config);
-  auto members = listed(*config);
+  auto members = members_of(*config);
   selector.set_members(members);
   const auto number = [&](const char* name) { return selector.exchange_number_of(name); };
   std::map<ExchangeNumber, int> first;
@@ -190,13 +194,14 @@
   CHECK(std::abs(first[number("p2")] - 175) <= 2);
   CHECK(std::abs(first[number("q1")] - 300) <= 1);
   CHECK(first.size() == 3);
-  const auto one = selector.choose({"641", 0, any, 0})->candidates;
-  const auto place = [&](const char* name) {
-    return std::find(one.begin(), one.end(), number(name)) - one.begin();
+  const auto candidates = selector.choose({"641", 0, any, 0})->candidates;
+  const auto position = [&](const char* name) {
+    return std::find(candidates.begin(), candidates.end(), number(name)) - candidates.begin();
   };
-  CHECK(place("far") < place("idle"));
-  CHECK(place("p2") < place("far"));
-  // A whole zone out of service: the next one takes over. A whole pool: the others, by their shares.
+  CHECK(position("far") < position("idle"));
+  CHECK(position("p2") < position("far"));
+  // When a whole zone is out of service, the next one takes over; when a whole pool is, the others by their
+  // shares.
   members[0][0].ready = members[0][1].ready = false;
   selector.set_members(members);
   first.clear();
@@ -214,70 +219,72 @@
   CHECK(selector.choose({"641", 0, any, 0})->candidates.empty());
 }
 
-TEST_CASE("members that are new all day long leave nothing behind, and no number is given out again soon") {
-  const auto config = site(
+TEST_CASE("replaced members leave no state behind, and a released number is not reused soon") {
+  const auto config = config_from_text(
       "registry { name: \"r\" address: \"127.0.0.1:1\" } pool { name: \"p\" from_registry "
       "{ registry: \"r\" application: \"x\" } } route { to { pool: \"p\" } }");
   Selector selector(config);
-  ExchangeNumber highest = 0, before = no_exchange;
+  ExchangeNumber highest = 0, previous = no_exchange;
   for (int i = 0; i < 10000; ++i) {
     const auto name = "m" + std::to_string(i);
     selector.set_members({{{name, 1, "", true}}});
     const auto number = selector.exchange_number_of(name);
-    CHECK(number != before);
-    before = number;
+    CHECK(number != previous);
+    previous = number;
     highest = std::max(highest, number);
     if (i > 0) CHECK(selector.exchange_number_of("m" + std::to_string(i - 1)) == no_exchange);
   }
   CHECK(highest < 100);
 }
 
-TEST_CASE("the door of a policy: so many open, so many a second, and what is saved up is bounded") {
+TEST_CASE("the limits of a policy: open look-ups, look-ups per second, and a bounded burst") {
   Policy policy;
   policy.most_open = 3;
-  PolicyLimiter gate;
-  gate.set_limits(policy);
-  for (int i = 0; i < 3; ++i) CHECK(gate.try_acquire(0) == PolicyLimiter::Decision::admitted);
-  CHECK(gate.try_acquire(0) == PolicyLimiter::Decision::too_many_open);
-  gate.release();
-  CHECK(gate.try_acquire(0) == PolicyLimiter::Decision::admitted);
+  PolicyLimiter limiter;
+  limiter.set_limits(policy);
+  for (int i = 0; i < 3; ++i) CHECK(limiter.try_acquire(0) == PolicyLimiter::Decision::admitted);
+  CHECK(limiter.try_acquire(0) == PolicyLimiter::Decision::too_many_open);
+  limiter.release();
+  CHECK(limiter.try_acquire(0) == PolicyLimiter::Decision::admitted);
   policy.most_open = 0;
   policy.rate = 10;
   policy.burst = 5;
-  gate.set_limits(policy);  // under load
+  limiter.set_limits(policy);  // while look-ups are open
   double now = 1e12;
-  int in = 0;
-  for (int i = 0; i < 100; ++i) in += gate.try_acquire(now) == PolicyLimiter::Decision::admitted ? 1 : 0;
-  CHECK(in == 5);
+  int admitted = 0;
+  for (int i = 0; i < 100; ++i)
+    admitted += limiter.try_acquire(now) == PolicyLimiter::Decision::admitted ? 1 : 0;
+  CHECK(admitted == 5);
   for (int i = 0; i < 1000; ++i, now += 10)
-    in += gate.try_acquire(now) == PolicyLimiter::Decision::admitted ? 1 : 0;
-  CHECK(std::abs(in - 105) <= 1);
-  CHECK(gate.try_acquire(now - 1e9) ==
-        PolicyLimiter::Decision::rate_exceeded);  // a clock set back gives nothing
+    admitted += limiter.try_acquire(now) == PolicyLimiter::Decision::admitted ? 1 : 0;
+  CHECK(std::abs(admitted - 105) <= 1);
+  // A clock that is set back adds no tokens.
+  CHECK(limiter.try_acquire(now - 1e9) == PolicyLimiter::Decision::rate_exceeded);
   now += 3600000;
-  in = 0;
-  for (int i = 0; i < 100; ++i) in += gate.try_acquire(now) == PolicyLimiter::Decision::admitted ? 1 : 0;
-  CHECK(in == 5);
-  CHECK(gate.rejected_count() > 0);
+  admitted = 0;
+  for (int i = 0; i < 100; ++i)
+    admitted += limiter.try_acquire(now) == PolicyLimiter::Decision::admitted ? 1 : 0;
+  CHECK(admitted == 5);
+  CHECK(limiter.rejected_count() > 0);
 }
 
-TEST_CASE("a reload keeps what is open under a policy, and shares are counted afresh") {
-  const std::string rest = "pool { name: \"p\" " + member("p1") + "} pool { name: \"q\" " + member("q1") +
-                           "} " +
-                           "route { to { pool: \"p\" share: \"50%\" } to { pool: \"q\" share: \"50%\" } }";
-  const auto before = site("policy { name: \"default\" most_open: 2 } " + rest);
+TEST_CASE("a reload keeps the look-ups open under a policy, and counts shares from zero") {
+  const std::string pools_and_route =
+      "pool { name: \"p\" " + member_text("p1") + "} pool { name: \"q\" " + member_text("q1") + "} " +
+      "route { to { pool: \"p\" share: \"50%\" } to { pool: \"q\" share: \"50%\" } }";
+  const auto before = config_from_text("policy { name: \"default\" most_open: 2 } " + pools_and_route);
   Selector selector(before);
-  selector.set_members(listed(*before));
-  const auto gate = selector.limiter(0);
-  CHECK(gate->try_acquire(0) == PolicyLimiter::Decision::admitted);
-  const auto after = site("policy { name: \"default\" most_open: 1 } " + rest);
+  selector.set_members(members_of(*before));
+  const auto limiter = selector.limiter(0);
+  CHECK(limiter->try_acquire(0) == PolicyLimiter::Decision::admitted);
+  const auto after = config_from_text("policy { name: \"default\" most_open: 1 } " + pools_and_route);
   selector.apply_config(after);
-  CHECK(selector.choose({"1", 0, any, 0})->candidates.empty());  // nobody is listed yet
-  selector.set_members(listed(*after));
-  CHECK(selector.limiter(0) == gate);
-  CHECK(gate->try_acquire(0) == PolicyLimiter::Decision::too_many_open);
-  gate->release();
-  CHECK(gate->try_acquire(0) == PolicyLimiter::Decision::admitted);
+  CHECK(selector.choose({"1", 0, any, 0})->candidates.empty());  // no members are set yet
+  selector.set_members(members_of(*after));
+  CHECK(selector.limiter(0) == limiter);
+  CHECK(limiter->try_acquire(0) == PolicyLimiter::Decision::too_many_open);
+  limiter->release();
+  CHECK(limiter->try_acquire(0) == PolicyLimiter::Decision::admitted);
   CHECK(selector.choose({"1", 0, any, 0})->candidates.size() == 2);
 }
 
