--- a/src/enum/dns.cpp
+++ b/src/enum/dns.cpp
@@ -7,68 +7,72 @@
 namespace heathturn::dns {
 namespace {
 
+/// Bits of the header's flags.
 namespace flag {
 constexpr std::uint32_t response = 0x8000, authoritative = 0x0400, truncated = 0x0200;
 constexpr std::uint32_t recursion_desired = 0x0100, recursion_available = 0x0080;
 constexpr std::uint32_t authentic_data = 0x0020, checking_disabled = 0x0010;
 }  // namespace flag
 
-constexpr std::size_t most_name = 255;
-constexpr std::size_t most_label = 63;
-constexpr std::size_t most_number = 15;  // digits of an E.164 number
+constexpr std::size_t max_name_bytes = 255;
+constexpr std::size_t max_label_bytes = 63;
+constexpr std::size_t max_number_digits = 15;  // of an E.164 number
 
-char lower(char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c; }
+char to_lower(char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c; }
 
-bool same_name(const std::string& a, const std::string& b) {
+bool names_equal(const std::string& a, const std::string& b) {
   return std::equal(a.begin(), a.end(), b.begin(), b.end(),
-                    [](char x, char y) { return lower(x) == lower(y); });
+                    [](char x, char y) { return to_lower(x) == to_lower(y); });
 }
 
-class Reader {
+/// Reads a message from its start. A read past the end fails, as does each one after it; ok() tells.
+class MessageReader {
  public:
-  explicit Reader(const std::string& bytes) : bytes_(bytes) {}
-  [[nodiscard]] bool good() const { return good_; }
-  [[nodiscard]] std::size_t at() const { return at_; }
-  [[nodiscard]] bool done() const { return at_ == bytes_.size(); }
-  void fail() { good_ = false; }
+  explicit MessageReader(const std::string& bytes) : bytes_(bytes) {}
+  [[nodiscard]] bool ok() const { return ok_; }
+  [[nodiscard]] std::size_t position() const { return position_; }
+  [[nodiscard]] bool at_end() const { return position_ == bytes_.size(); }
+  void fail() { ok_ = false; }
 
-  std::uint32_t number(std::size_t width) {
-    if (!need(width)) return 0;
+  /// Reads a big-endian number of `width` bytes.
+  std::uint32_t read_number(std::size_t width) {
+    if (!require_bytes(width)) return 0;
     std::uint32_t value = 0;
-    for (std::size_t i = 0; i < width; ++i) value = value << 8 | static_cast<std::uint8_t>(bytes_[at_++]);
+    for (std::size_t i = 0; i < width; ++i)
+      value = value << 8 | static_cast<std::uint8_t>(bytes_[position_++]);
     return value;
   }
-  std::string take(std::size_t count) {
-    if (!need(count)) return {};
-    at_ += count;
-    return bytes_.substr(at_ - count, count);
+  std::string read_bytes(std::size_t count) {
+    if (!require_bytes(count)) return {};
+    position_ += count;
+    return bytes_.substr(position_ - count, count);
   }
-  /// A name, followed through its compression. Each pointer must lead further back than the one before, so
-  /// that no message can lead round in a circle.
-  std::string name() {
+  /// Reads a name and follows its compression pointers. Each pointer must lead further back than the one
+  /// before it, so that a message cannot contain a loop.
+  std::string read_name() {
     std::string out;
-    std::size_t here = at_;
-    std::size_t bound = at_;
+    std::size_t offset = position_;
+    std::size_t limit = position_;
     bool jumped = false;
-    while (good_) {
-      if (here >= bytes_.size()) break;
-      const auto length = static_cast<std::uint8_t>(bytes_[here]);
+    while (ok_) {
+      if (offset >= bytes_.size()) break;
+      const auto length = static_cast<std::uint8_t>(bytes_[offset]);
       if (length >= 0xc0) {
-        if (here + 1 >= bytes_.size()) break;
+        if (offset + 1 >= bytes_.size()) break;
         const auto target =
-            static_cast<std::size_t>((length & 0x3f) << 8 | static_cast<std::uint8_t>(bytes_[here + 1]));
-        if (!jumped) at_ = here + 2;
+            static_cast<std::size_t>((length & 0x3f) << 8 | static_cast<std::uint8_t>(bytes_[offset + 1]));
+        if (!jumped) position_ = offset + 2;
         jumped = true;
-        if (target >= bound) break;
-        bound = here = target;
+        if (target >= limit) break;
+        limit = offset = target;
         continue;
       }
-      if (length > most_label || here + 1 + length > bytes_.size()) break;
-      out.append(bytes_, here, std::size_t{1} + length);
-      if (out.size() > most_name) break;
-      here += std::size_t{1} + length;
+      if (length > max_label_bytes || offset + 1 + length > bytes_.size()) break;
+      out.append(bytes_, offset, std::size_t{1} + length);
+      if (out.size() > max_name_bytes) break;
+      offset += std::size_t{1} + length;
       if (length == 0) {
-        if (!jumped) at_ = here;
+        if (!jumped) position_ = offset;
         return out;
       }
     }
@@ -77,27 +81,29 @@
   }
 
  private:
-  bool need(std::size_t count) {
-    if (good_ && count <= bytes_.size() - at_) return true;
+  bool require_bytes(std::size_t count) {
+    if (ok_ && count <= bytes_.size() - position_) return true;
     fail();
     return false;
   }
   const std::string& bytes_;
-  std::size_t at_ = 0;
-  bool good_ = true;
+  std::size_t position_ = 0;
+  bool ok_ = true;
 };
 
-void put(std::string& out, std::uint32_t value, std::size_t width) {
+/// Appends a big-endian number of `width` bytes.
+void append_number(std::string& out, std::uint32_t value, std::size_t width) {
   for (std::size_t i = width; i-- > 0;) out.push_back(static_cast<char>(value >> (8 * i)));
 }
 
-/// The fields before, and the number of, names in the data of a type whose names may be compressed.
-struct NamesIn {
-  std::size_t before = 0;
-  std::size_t names = 0;
+/// Where names stand in the data of a record type whose names may be compressed: their number, and the number
+/// of bytes before them.
+struct NameLayout {
+  std::size_t prefix_bytes = 0;
+  std::size_t name_count = 0;
 };
-NamesIn names_in(std::uint16_t of_type) {
-  switch (of_type) {
+NameLayout name_layout(std::uint16_t record_type) {
+  switch (record_type) {
     case 2:   // NS
     case 5:   // CNAME
     case 12:  // PTR
@@ -114,47 +120,49 @@
   }
 }
 
-/// Order, preference, three texts and a name, and nothing else.
-std::string read_naptr(Reader& in) {
-  std::string out = in.take(4);
+/// Reads the data of a NAPTR record: order, preference, three character strings and a name.
+std::string read_naptr_data(MessageReader& in) {
+  std::string out = in.read_bytes(4);
   for (int i = 0; i < 3; ++i) {
-    const auto length = in.number(1);
-    put(out, length, 1);
-    out += in.take(length);
+    const auto length = in.read_number(1);
+    append_number(out, length, 1);
+    out += in.read_bytes(length);
   }
-  return out + in.name();
+  return out + in.read_name();
 }
 
-Record read_record(Reader& in, std::size_t& size_of_data) {
+/// Fails `in` when the data does not end where its length says. `data_size`: that length.
+Record read_record(MessageReader& in, std::size_t& data_size) {
   Record record;
-  record.name = in.name();
-  record.type = static_cast<std::uint16_t>(in.number(2));
-  record.dns_class = static_cast<std::uint16_t>(in.number(2));
-  record.ttl = in.number(4);
-  size_of_data = in.number(2);
-  const auto end = in.at() + size_of_data;
+  record.name = in.read_name();
+  record.type = static_cast<std::uint16_t>(in.read_number(2));
+  record.dns_class = static_cast<std::uint16_t>(in.read_number(2));
+  record.ttl = in.read_number(4);
+  data_size = in.read_number(2);
+  const auto end = in.position() + data_size;
   if (record.type == type::naptr) {
-    record.data = read_naptr(in);
-  } else if (const auto names = names_in(record.type); names.names > 0) {
-    record.data = in.take(names.before);
-    for (std::size_t i = 0; i < names.names; ++i) record.data += in.name();
-    if (in.good() && in.at() <= end) record.data += in.take(end - in.at());
+    record.data = read_naptr_data(in);
+  } else if (const auto layout = name_layout(record.type); layout.name_count > 0) {
+    record.data = in.read_bytes(layout.prefix_bytes);
+    for (std::size_t i = 0; i < layout.name_count; ++i) record.data += in.read_name();
+    if (in.ok() && in.position() <= end) record.data += in.read_bytes(end - in.position());
   } else {
-    record.data = in.take(size_of_data);
+    record.data = in.read_bytes(data_size);
   }
-  if (in.at() != end) in.fail();
+  if (in.position() != end) in.fail();
   return record;
 }
 
-Question take_question(Reader& in) {
+Question read_question(MessageReader& in) {
   Question question;
-  question.name = in.name();
-  question.type = static_cast<std::uint16_t>(in.number(2));
-  question.dns_class = static_cast<std::uint16_t>(in.number(2));
+  question.name = in.read_name();
+  question.type = static_cast<std::uint16_t>(in.read_number(2));
+  question.dns_class = static_cast<std::uint16_t>(in.read_number(2));
   return question;
 }
 
-void read_edns(const Record& record, Message& message, Reader& in) {
+/// Takes the fields of an OPT record. A second one, or one whose owner is not the root, is an error.
+void read_edns(const Record& record, Message& message, MessageReader& in) {
   if (message.edns || record.name.size() != 1) return in.fail();
   Edns edns;
   edns.udp_payload_bytes = std::max<std::uint16_t>(record.dns_class, default_udp_payload_bytes);
@@ -166,60 +174,60 @@
 
 void write_record(std::string& out, const Record& record) {
   out += record.name;
-  put(out, record.type, 2);
-  put(out, record.dns_class, 2);
-  put(out, record.ttl, 4);
-  put(out, static_cast<std::uint32_t>(record.data.size()), 2);
+  append_number(out, record.type, 2);
+  append_number(out, record.dns_class, 2);
+  append_number(out, record.ttl, 4);
+  append_number(out, static_cast<std::uint32_t>(record.data.size()), 2);
   out += record.data;
 }
 
 }  // namespace
 
 bool Question::matches(const Question& other) const {
-  return type == other.type && dns_class == other.dns_class && same_name(name, other.name);
+  return type == other.type && dns_class == other.dns_class && names_equal(name, other.name);
 }
 
 std::optional<Header> parse_header(const std::string& bytes) {
   if (bytes.size() < header_bytes) return std::nullopt;
-  Reader in(bytes);
+  MessageReader in(bytes);
   Header header;
-  header.id = static_cast<std::uint16_t>(in.number(2));
-  const auto flags = in.number(2);
-  const auto is = [flags](std::uint32_t which) { return (flags & which) != 0; };
-  header.response = is(flag::response);
+  header.id = static_cast<std::uint16_t>(in.read_number(2));
+  const auto flags = in.read_number(2);
+  const auto is_set = [flags](std::uint32_t which) { return (flags & which) != 0; };
+  header.response = is_set(flag::response);
   header.opcode = static_cast<std::uint8_t>(flags >> 11 & 15U);
-  header.authoritative = is(flag::authoritative);
-  header.truncated = is(flag::truncated);
-  header.recursion_desired = is(flag::recursion_desired);
-  header.recursion_available = is(flag::recursion_available);
-  header.authentic_data = is(flag::authentic_data);
-  header.checking_disabled = is(flag::checking_disabled);
+  header.authoritative = is_set(flag::authoritative);
+  header.truncated = is_set(flag::truncated);
+  header.recursion_desired = is_set(flag::recursion_desired);
+  header.recursion_available = is_set(flag::recursion_available);
+  header.authentic_data = is_set(flag::authentic_data);
+  header.checking_disabled = is_set(flag::checking_disabled);
   header.rcode = static_cast<std::uint16_t>(flags & 15U);
   return header;
 }
 
 std::optional<Question> parse_question(const std::string& bytes) {
-  Reader in(bytes);
-  in.take(4);
-  const auto questions = in.number(2);
-  in.take(6);
-  const auto question = take_question(in);
-  return in.good() && questions == 1 ? std::optional(question) : std::nullopt;
+  MessageReader in(bytes);
+  in.read_bytes(4);
+  const auto questions = in.read_number(2);
+  in.read_bytes(6);
+  const auto question = read_question(in);
+  return in.ok() && questions == 1 ? std::optional(question) : std::nullopt;
 }
 
 std::optional<Message> parse_message(const std::string& bytes) {
   const auto header = parse_header(bytes);
   if (!header) return std::nullopt;
-  Reader in(bytes);
-  in.take(4);
+  MessageReader in(bytes);
+  in.read_bytes(4);
   Message message{*header, {}, {}, {}, {}};
-  const auto questions = in.number(2);
-  const auto answers = in.number(2);
-  const auto authority = in.number(2);
-  const auto additional = in.number(2);
-  if (!in.good() || questions > 1) return std::nullopt;
-  if (questions == 1) message.question = take_question(in);
-  for (std::uint32_t i = 0; in.good() && i < answers + authority + additional; ++i) {
+  const auto questions = in.read_number(2);
+  const auto answers = in.read_number(2);
+  const auto authority = in.read_number(2);
+  const auto additional = in.read_number(2);
+  if (!in.ok() || questions > 1) return std::nullopt;
+  if (questions == 1) message.question = read_question(in);
+  for (std::uint32_t i = 0; in.ok() && i < answers + authority + additional; ++i) {
     std::size_t size = 0;
     auto record = read_record(in, size);
     if (i < answers) {
@@ -230,7 +238,7 @@
       read_edns(record, message, in);
     }
   }
-  if (!in.good() || !in.done()) return std::nullopt;
+  if (!in.ok() || !in.at_end()) return std::nullopt;
   if (message.edns)
     message.rcode = static_cast<std::uint16_t>(message.rcode | message.edns->extended_rcode << 4);
   return message;
@@ -238,24 +246,24 @@
 
 std::string serialize_message(const Message& message) {
   std::string out;
-  put(out, message.id, 2);
-  const auto bit = [](bool set, std::uint32_t which) { return set ? which : 0U; };
-  const std::uint32_t flags = bit(message.response, flag::response) | (message.opcode & 15U) << 11 |
-                              bit(message.authoritative, flag::authoritative) |
-                              bit(message.truncated, flag::truncated) |
-                              bit(message.recursion_desired, flag::recursion_desired) |
-                              bit(message.recursion_available, flag::recursion_available) |
-                              bit(message.authentic_data, flag::authentic_data) |
-                              bit(message.checking_disabled, flag::checking_disabled) | (message.rcode & 15U);
-  put(out, flags, 2);
-  put(out, message.question ? 1 : 0, 2);
-  put(out, static_cast<std::uint32_t>(message.answers.size()), 2);
-  put(out, static_cast<std::uint32_t>(message.authority.size()), 2);
-  put(out, message.edns ? 1 : 0, 2);
+  append_number(out, message.id, 2);
+  const auto bit_if = [](bool set, std::uint32_t which) { return set ? which : 0U; };
+  const std::uint32_t flags =
+      bit_if(message.response, flag::response) | (message.opcode & 15U) << 11 |
+      bit_if(message.authoritative, flag::authoritative) | bit_if(message.truncated, flag::truncated) |
+      bit_if(message.recursion_desired, flag::recursion_desired) |
+      bit_if(message.recursion_available, flag::recursion_available) |
+      bit_if(message.authentic_data, flag::authentic_data) |
+      bit_if(message.checking_disabled, flag::checking_disabled) | (message.rcode & 15U);
+  append_number(out, flags, 2);
+  append_number(out, message.question ? 1 : 0, 2);
+  append_number(out, static_cast<std::uint32_t>(message.answers.size()), 2);
+  append_number(out, static_cast<std::uint32_t>(message.authority.size()), 2);
+  append_number(out, message.edns ? 1 : 0, 2);
   if (message.question) {
     out += message.question->name;
-    put(out, message.question->type, 2);
-    put(out, message.question->dns_class, 2);
+    append_number(out, message.question->type, 2);
+    append_number(out, message.question->dns_class, 2);
   }
   for (const auto& record : message.answers) write_record(out, record);
   for (const auto& record : message.authority) write_record(out, record);
@@ -268,18 +276,19 @@
   return out;
 }
 
-std::string serialize_within(const Message& message, std::size_t most) {
-  auto whole = serialize_message(message);
-  if (whole.size() <= most) return whole;
-  // The authority of a positive answer may be left out without a word; of the rest a part would mislead.
-  auto less = message;
-  if (!less.answers.empty()) less.authority.clear();
-  whole = serialize_message(less);
-  if (whole.size() <= most) return whole;
-  less.answers.clear();
-  less.authority.clear();
-  less.truncated = true;
-  return serialize_message(less);
+std::string serialize_within(const Message& message, std::size_t max_bytes) {
+  auto bytes = serialize_message(message);
+  if (bytes.size() <= max_bytes) return bytes;
+  // The authority section of a positive answer may be omitted without truncation. Of the other records a part
+  // alone would be misleading, so all of them are omitted.
+  auto reduced = message;
+  if (!reduced.answers.empty()) reduced.authority.clear();
+  bytes = serialize_message(reduced);
+  if (bytes.size() <= max_bytes) return bytes;
+  reduced.answers.clear();
+  reduced.authority.clear();
+  reduced.truncated = true;
+  return serialize_message(reduced);
 }
 
 std::optional<std::string> name_from_text(const std::string& text) {
@@ -289,48 +298,48 @@
   while (start < size) {
     const auto dot = std::min(text.find('.', start), size);
     const auto length = dot - start;
-    if (length == 0 || length > most_label) return std::nullopt;
+    if (length == 0 || length > max_label_bytes) return std::nullopt;
     out.push_back(static_cast<char>(length));
     out.append(text, start, length);
     start = dot + 1;
   }
   out.push_back('\0');
-  if (out.size() > most_name) return std::nullopt;
+  if (out.size() > max_name_bytes) return std::nullopt;
   return out;
 }
 
 std::string name_to_text(const std::string& name) {
   std::string out;
-  for (std::size_t at = 0; at < name.size() && name[at] != '\0';) {
-    const auto length = static_cast<std::uint8_t>(name[at]);
+  for (std::size_t offset = 0; offset < name.size() && name[offset] != '\0';) {
+    const auto length = static_cast<std::uint8_t>(name[offset]);
     if (!out.empty()) out += '.';
-    for (std::size_t i = at + 1; i <= at + length && i < name.size(); ++i) {
+    for (std::size_t i = offset + 1; i <= offset + length && i < name.size(); ++i) {
       const auto c = static_cast<unsigned char>(name[i]);
       if (c > ' ' && c < 127 && c != '.' && c != '\\') {
-        out += lower(name[i]);
+        out += to_lower(name[i]);
       } else {
         std::array<char, 8> escaped{};
         std::snprintf(escaped.data(), escaped.size(), "\\%03u", static_cast<unsigned>(c));
         out += escaped.data();
       }
     }
-    at += std::size_t{1} + length;
+    offset += std::size_t{1} + length;
   }
   return out;
 }
 
 std::optional<std::string> number_from_name(const std::string& name, const std::string& suffix) {
   const auto text = name_to_text(name);
-  const auto tail = "." + suffix;
-  if (!text.ends_with(tail)) return std::nullopt;
-  const auto labels = text.substr(0, text.size() - tail.size());
+  const auto dotted_suffix = "." + suffix;
+  if (!text.ends_with(dotted_suffix)) return std::nullopt;
+  const auto labels = text.substr(0, text.size() - dotted_suffix.size());
   std::string digits;
   for (std::size_t i = 0; i < labels.size(); ++i) {
-    const bool digit = labels[i] >= '0' && labels[i] <= '9';
-    if (i % 2 == 0 ? !digit : labels[i] != '.') return std::nullopt;
-    if (digit) digits.insert(digits.begin(), labels[i]);
+    const bool is_digit = labels[i] >= '0' && labels[i] <= '9';
+    if (i % 2 == 0 ? !is_digit : labels[i] != '.') return std::nullopt;
+    if (is_digit) digits.insert(digits.begin(), labels[i]);
   }
-  if (digits.empty() || labels.size() % 2 == 0 || digits.size() > most_number) return std::nullopt;
+  if (digits.empty() || labels.size() % 2 == 0 || digits.size() > max_number_digits) return std::nullopt;
   return digits;
 }
 
--- a/src/enum/dns.hpp
+++ b/src/enum/dns.hpp
@@ -1,5 +1,5 @@
-// DNS messages (RFC 1035, EDNS of RFC 6891): read with every length checked, written without compression but
-// for the question's name.
+// Parses and serializes DNS messages (RFC 1035, with EDNS of RFC 6891). The parser checks every length; the
+// serializer writes names without compression.
 #pragma once
 
 #include <cstdint>
@@ -9,36 +9,41 @@
 
 namespace heathturn::dns {
 
+/// Record types.
 namespace type {
 inline constexpr std::uint16_t cname = 5, soa = 6, naptr = 35, opt = 41;
 }
 inline constexpr std::uint16_t class_in = 1;
 
+/// Response codes, those of EDNS included.
 namespace rcode {
 inline constexpr std::uint16_t no_error = 0, form_err = 1, serv_fail = 2, nx_domain = 3, not_imp = 4,
                                refused = 5, bad_vers = 16;
 }
 
-inline constexpr std::size_t default_udp_payload_bytes = 512;  ///< without EDNS
-inline constexpr std::uint16_t advertised_udp_payload_bytes = 1232;
+inline constexpr std::size_t default_udp_payload_bytes = 512;  ///< limit of a message over UDP without EDNS
+inline constexpr std::uint16_t advertised_udp_payload_bytes = 1232;  ///< what this program accepts with EDNS
 inline constexpr std::size_t header_bytes = 12;
 
+/// The question of a message.
 struct Question {
-  std::string name;  ///< uncompressed, as on the wire, in the sender's case
+  std::string name;  ///< in wire format, uncompressed, in the sender's case
   std::uint16_t type = 0;
   std::uint16_t dns_class = 0;
-  /// Names differ in nothing by case.
+  /// Equality; names are compared without regard to case.
   [[nodiscard]] bool matches(const Question& other) const;
 };
 
+/// A resource record.
 struct Record {
-  std::string name;  ///< uncompressed
+  std::string name;  ///< in wire format, uncompressed
   std::uint16_t type = 0;
   std::uint16_t dns_class = 0;
-  std::uint32_t ttl = 0;
-  std::string data;  ///< names in it uncompressed
+  std::uint32_t ttl = 0;  ///< in seconds
+  std::string data;       ///< the names in it uncompressed
 };
 
+/// The fields of an OPT record.
 struct Edns {
   std::uint16_t udp_payload_bytes = default_udp_payload_bytes;
   std::uint8_t version = 0;
@@ -46,7 +51,7 @@
   bool dnssec_ok = false;
 };
 
-/// What can be told of any message from its first bytes.
+/// The header of a message, without its counts of records.
 struct Header {
   std::uint16_t id = 0;
   bool response = false;
@@ -55,27 +60,34 @@
   bool authentic_data = false, checking_disabled = false;
   std::uint16_t rcode = 0;
 };
+/// A message with at most one question. Of the additional section only the OPT record is kept.
 struct Message : Header {
   std::optional<Question> question;
   std::vector<Record> answers, authority;
   std::optional<Edns> edns;
 };
 
+/// Nothing when the message is shorter than a header.
 [[nodiscard]] std::optional<Header> parse_header(const std::string& bytes);
-/// The question alone, whatever comes after it: a truncated message may be cut anywhere.
+/// Parses the question and ignores everything after it, since a truncated message may be cut anywhere.
+/// Nothing unless the message has exactly one question.
 [[nodiscard]] std::optional<Question> parse_question(const std::string& bytes);
-/// Nothing when the message is malformed in any part: a loop of compression, a length past the end, more
-/// than one question, bytes after the last record.
+/// Nothing when any part of the message is malformed: a compression loop, a length past the end, more than
+/// one question, bytes after the last record.
 [[nodiscard]] std::optional<Message> parse_message(const std::string& bytes);
+/// The message in wire format; names are not compressed.
 [[nodiscard]] std::string serialize_message(const Message& message);
-/// At most `most` bytes: what does not fit is left out, and the message says that it was.
-[[nodiscard]] std::string serialize_within(const Message& message, std::size_t most);
+/// The message in at most `max_bytes` bytes. Records are omitted, and the message is marked as truncated, if
+/// it does not fit otherwise.
+[[nodiscard]] std::string serialize_within(const Message& message, std::size_t max_bytes);
 
-/// "4.3.2.1.enum.example.org" as on the wire; nothing for what is no name.
+/// Converts a name such as "4.3.2.1.enum.example.org" to wire format; nothing when it is not a valid name.
 [[nodiscard]] std::optional<std::string> name_from_text(const std::string& text);
-/// In lower case, without the last dot; bytes that are not plain letters are written as \DDD.
+/// Converts a name from wire format to lower-case text without the final dot. Unprintable bytes, spaces, and
+/// dots and backslashes within a label are written as \DDD.
 [[nodiscard]] std::string name_to_text(const std::string& name);
-/// The E.164 number (its digits) that a name under `suffix` (as name_to_text gives it) stands for.
+/// The digits of the E.164 number that a name under `suffix` denotes; nothing for any other name. `suffix`:
+/// as name_to_text() returns it.
 [[nodiscard]] std::optional<std::string> number_from_name(const std::string& name, const std::string& suffix);
 
 }  // namespace heathturn::dns
--- a/src/enum/dot_client.hpp
+++ b/src/enum/dot_client.hpp
@@ -1,5 +1,5 @@
-// DNS over TLS (RFC 7858) towards name servers: a few kept connections to each, many look-ups on one, opened
-// as the admission of handshakes allows.
+// Client for DNS over TLS (RFC 7858): keeps a few connections to each name server, sends many look-ups over
+// one connection, and opens connections as the handshake admission allows.
 #pragma once
 
 #include <deque>
@@ -14,35 +14,39 @@
 
 namespace heathturn {
 
-/// Who asks over these links.
+/// Serializes the look-ups that a DotClient sends, and receives their results.
 class DotClientHandler {
  public:
   virtual ~DotClientHandler() = default;
-  /// The look-up as a message with this id, which its answer will bear.
-  virtual std::string serialize_query(Handle attempt, std::uint16_t id) = 0;
-  /// The attempt is over for these links, whatever the message says.
+  /// Returns the query of the attempt with this message id, which its answer must carry.
+  virtual std::string serialize_query(Handle attempt, std::uint16_t message_id) = 0;
+  /// The client forgets the attempt, whatever the message says.
   virtual void on_dot_answer(Handle attempt, const std::string& message) = 0;
-  /// connect_failed: it never left; reset: it may have run.
+  /// `result`: not_sent or connect_failed if the query was never sent, reset if the server may have run it.
   virtual void on_dot_failed(Handle attempt, maddershed::AttemptResult result) = 0;
 };
 
+/// Sends look-ups to name servers over TLS, on behalf of one handler.
 class DotClient : public ConnectionUser {
  public:
   DotClient(Clock& clock, TimerQueue& timers, Connections& net, const handshakes::Settings& settings,
-            std::uint64_t seed, DotClientHandler& user);
+            std::uint64_t seed, DotClientHandler& handler);
 
-  /// A server is listed, or listed anew. Connections opened from now on go by this context.
+  /// Adds a server or updates its data. New connections use this TLS context.
   void update_server(ExchangeId server, const Address& address, const std::string& name,
                      std::shared_ptr<tls::Context> context);
-  /// It is listed no more: nothing new goes there, what is out may end.
+  /// No new look-up is sent to the server; those in flight may finish.
   void remove_server(ExchangeId server);
 
-  /// `due`: when the look-up is of no use any more.
-  void send(Handle attempt, ExchangeId server, double due);
+  /// Sends the look-up of the attempt, at once or when a connection has room. `deadline_ms` (Unix time): the
+  /// answer is useless afterwards.
+  void send(Handle attempt, ExchangeId server, double deadline_ms);
+  /// The handler no longer waits for the attempt and gets no report on it.
   void abandon(Handle attempt);
 
+  /// Counts of the handshakes.
   [[nodiscard]] const handshakes::Admission::Counts& counts() const { return admission_.counts(); }
-  /// Ended handshakes and connections by reason, TLS's own ones.
+  /// Number of handshakes and connections that ended for each TLS reason ("tls_...").
   [[nodiscard]] const std::map<std::string, std::uint64_t>& tls_failures() const { return tls_failures_; }
 
   void on_connected(Handle connection) override;
@@ -50,48 +54,48 @@
   void on_ended(Handle connection, const char* reason) override;
 
  private:
-  struct Line {
+  struct ConnectionState {
     ExchangeId server;
     handshakes::Kind admitted = handshakes::Kind::full;
-    double since = 0;
-    bool open = false;
-    bool retiring = false;  ///< takes nothing new, and ends with its last look-up
-    std::uint16_t next_id = 0;
-    std::unordered_map<std::uint16_t, Handle> asked;  ///< attempts, by message id
+    double since_ms = 0;  ///< when it was opened or, once established, when it was established
+    bool established = false;
+    bool retiring = false;  ///< gets no new look-up, and is closed after its last one
+    std::uint16_t next_message_id = 0;
+    std::unordered_map<std::uint16_t, Handle> attempts;  ///< by message id; no_handle: abandoned
   };
-  struct Waiting {
+  struct QueuedAttempt {
     Handle attempt = no_handle;
-    double due = 0;
+    double deadline_ms = 0;
   };
   struct Server {
     Address address;
     std::string name;
     std::shared_ptr<tls::Context> context;
-    std::deque<Waiting> waiting;
-    std::vector<Handle> lines;
-    TimerQueue::Key ask;
+    std::deque<QueuedAttempt> queue;
+    std::vector<Handle> connections;
+    TimerQueue::Key admission_timer;
     bool listed = false;
   };
-  struct At {
+  struct AttemptState {
     ExchangeId server;
-    Handle line = no_handle;  ///< none while it waits
-    std::uint16_t id = 0;
+    Handle connection = no_handle;  ///< no_handle while the attempt is queued
+    std::uint16_t message_id = 0;
   };
-  void pump(ExchangeId id);
-  void dispatch(ExchangeId id);
-  void open(ExchangeId id, Server& server, handshakes::Kind admitted);
-  void retire_if_idle(Handle connection);
-  void forget_if_done(ExchangeId id);
-  void fail(Handle attempt, maddershed::AttemptResult result);
+  void process_queue(ExchangeId id);
+  void send_queued(ExchangeId id);
+  void open_connection(ExchangeId id, Server& server, handshakes::Kind admitted);
+  void close_if_unused(Handle connection);
+  void erase_if_unused(ExchangeId id);
+  void fail_attempt(Handle attempt, maddershed::AttemptResult result);
 
   Clock& clock_;
   TimerQueue& timers_;
   Connections& net_;
-  DotClientHandler& user_;
+  DotClientHandler& handler_;
   handshakes::Admission admission_;
   std::map<ExchangeId, Server> servers_;
-  std::unordered_map<Handle, Line> lines_;  ///< by connection
-  std::unordered_map<Handle, At> attempts_;
+  std::unordered_map<Handle, ConnectionState> connections_;
+  std::unordered_map<Handle, AttemptState> attempts_;
   std::map<std::string, std::uint64_t> tls_failures_;
 };
 
--- a/src/enum/enum_frontend.cpp
+++ b/src/enum/enum_frontend.cpp
@@ -10,23 +10,24 @@
 namespace heathturn {
 namespace {
 
-constexpr int most_port_tries = 16;
-constexpr std::size_t most_connections = 128;
-constexpr std::size_t most_requests = 256;    // look-ups open on one connection
-constexpr std::size_t most_open = 10000;      // look-ups: beyond, the cheap answer is a refusal
-constexpr std::size_t most_query = 4096;      // bytes of a query over TCP
-constexpr double idle_connection_ms = 10000;  // without a query and without an open one
-
-/// What a record may be about: the question's name, or one that an alias of it leads to.
-void keep_relevant(dns::Message& message) {
+constexpr int max_bind_attempts = 16;
+constexpr std::size_t max_connections = 128;
+constexpr std::size_t max_requests_per_connection = 256;
+// Further queries are refused, which is the cheapest answer.
+constexpr std::size_t max_pending_queries = 10000;
+constexpr std::size_t max_tcp_query_bytes = 4096;
+constexpr double idle_timeout_ms = 10000;  // without a query, on a connection that has none pending
+
+/// Removes the answers whose owner is neither the name asked for nor one that it leads to by CNAME records.
+void keep_relevant_answers(dns::Message& message) {
   std::vector<dns::Record> kept;
-  dns::Question at = *message.question;
+  dns::Question expected = *message.question;
   for (const auto& record : message.answers) {
-    at.type = record.type;
-    at.dns_class = record.dns_class;
-    if (!at.matches({record.name, record.type, record.dns_class})) continue;
+    expected.type = record.type;
+    expected.dns_class = record.dns_class;
+    if (!expected.matches({record.name, record.type, record.dns_class})) continue;
     kept.push_back(record);
-    if (record.type == dns::type::cname) at.name = record.data;
+    if (record.type == dns::type::cname) expected.name = record.data;
   }
   message.answers = std::move(kept);
 }
@@ -45,14 +46,14 @@
       config_(std::move(config)) {}
 
 Address EnumFrontend::listen() {
-  for (int tries = 1;; ++tries) {
+  for (int attempt = 1;; ++attempt) {
     socket_ = datagrams_.bind(config_->listen, *this);
     try {
       return net_.listen(datagrams_.address(socket_), *this, "resolver",
-                         {.connections = most_connections, .requests = most_requests});
+                         {.connections = max_connections, .requests = max_requests_per_connection});
     } catch (const std::runtime_error&) {
-      // Where the file leaves the port to the system, the one it gave for UDP may be taken for TCP.
-      if (config_->listen.port != 0 || tries == most_port_tries) throw;
+      // When the system chooses the port, the one that it chose for UDP may be in use for TCP.
+      if (config_->listen.port != 0 || attempt == max_bind_attempts) throw;
       datagrams_.close(socket_);
     }
   }
@@ -64,97 +65,98 @@
   on_query({from, no_handle}, bytes);
 }
 
-void EnumFrontend::on_connected(Handle connection) { expect_query(connection); }
+void EnumFrontend::on_connected(Handle connection) { restart_idle_timer(connection); }
 
 void EnumFrontend::on_input(Handle connection, evbuffer* in) {
-  net_.each_counted(connection, in, 2, most_query, [this, connection](const std::string& message) {
+  net_.each_counted(connection, in, 2, max_tcp_query_bytes, [this, connection](const std::string& message) {
     if (message.size() < dns::header_bytes) throw Unreadable{reason::malformed};
-    expect_query(connection);
+    restart_idle_timer(connection);
     on_query({{}, connection}, message);
   });
 }
 
-void EnumFrontend::expect_query(Handle connection) {
-  timers_.cancel(idle_[connection]);
-  idle_[connection] = timers_.schedule(clock_.now_ms() + idle_connection_ms, [this, connection] {
-    idle_[connection] = {};
-    const bool waits = std::any_of(asked_.begin(), asked_.end(), [connection](const auto& each) {
-      return each.second.client.connection == connection;
+void EnumFrontend::restart_idle_timer(Handle connection) {
+  timers_.cancel(idle_timers_[connection]);
+  idle_timers_[connection] = timers_.schedule(clock_.now_ms() + idle_timeout_ms, [this, connection] {
+    idle_timers_[connection] = {};
+    const bool has_pending = std::any_of(pending_.begin(), pending_.end(), [connection](const auto& entry) {
+      return entry.second.client.connection == connection;
     });
-    if (waits) return expect_query(connection);
+    if (has_pending) return restart_idle_timer(connection);
     net_.close(connection, reason::idle);
   });
 }
 
 void EnumFrontend::on_ended(Handle connection, const char*) {
-  timers_.cancel(idle_[connection]);
-  idle_.erase(connection);
-  std::vector<Handle> left;
-  for (const auto& [request, asked] : asked_) {
-    if (asked.client.connection == connection) left.push_back(request);
+  timers_.cancel(idle_timers_[connection]);
+  idle_timers_.erase(connection);
+  std::vector<Handle> abandoned;
+  for (const auto& [request, pending] : pending_) {
+    if (pending.client.connection == connection) abandoned.push_back(request);
   }
-  for (const auto request : left) {
-    take(request);
+  for (const auto request : abandoned) {
+    take_pending(request);
     router_.caller_left(request);
   }
 }
 
 void EnumFrontend::on_query(const Client& client, const std::string& bytes) {
   const auto header = dns::parse_header(bytes);
-  // Guards against two servers that answer each other for ever: nothing but a query is answered.
+  // Only queries are answered, so that two servers cannot answer each other's messages for ever.
   if (!header || header->response) return;
-  dns::Message bare;
-  bare.id = header->id;
-  bare.opcode = header->opcode;
-  bare.recursion_desired = header->recursion_desired;
-  if (header->opcode != 0) return reply(client, bare, dns::rcode::not_imp);
+  dns::Message error_header;
+  error_header.id = header->id;
+  error_header.opcode = header->opcode;
+  error_header.recursion_desired = header->recursion_desired;
+  if (header->opcode != 0) return send_error(client, error_header, dns::rcode::not_imp);
   auto query = dns::parse_message(bytes);
   if (!query || !query->question || !query->answers.empty() || !query->authority.empty()) {
-    return reply(client, bare, dns::rcode::form_err);
+    return send_error(client, error_header, dns::rcode::form_err);
   }
-  if (query->edns && query->edns->version != 0) return reply(client, *query, dns::rcode::bad_vers);
+  if (query->edns && query->edns->version != 0) return send_error(client, *query, dns::rcode::bad_vers);
   const auto& question = *query->question;
-  if (question.dns_class != dns::class_in || question.type != dns::type::naptr || door_closed_) {
-    return reply(client, *query, dns::rcode::refused);
+  if (question.dns_class != dns::class_in || question.type != dns::type::naptr || refusing_new_requests_) {
+    return send_error(client, *query, dns::rcode::refused);
   }
   open_request(client, std::move(*query));
 }
 
 std::uint16_t EnumFrontend::minute_of_week() {
   constexpr double minute_ms = 60000;
-  const double now = clock_.now_ms();
-  if (now >= minute_until_) {
-    minute_ = units::minute_of_week(now, config_->zone);
-    minute_until_ = (std::floor(now / minute_ms) + 1) * minute_ms;
+  const double now_ms = clock_.now_ms();
+  if (now_ms >= minute_expires_ms_) {
+    minute_of_week_ = units::minute_of_week(now_ms, config_->zone);
+    minute_expires_ms_ = (std::floor(now_ms / minute_ms) + 1) * minute_ms;
   }
-  return minute_;
+  return minute_of_week_;
 }
 
 void EnumFrontend::open_request(const Client& client, dns::Message query) {
   const auto number = dns::number_from_name(query.question->name, config_->suffix);
-  if (!number || asked_.size() >= most_open) return reply(client, query, dns::rcode::refused);
-  Key key{client, query.id, query.question->name};
-  // A client that asks again while its request is open gets the one answer that is under way.
-  if (open_.contains(key)) return;
-  const auto from = client.connection == no_handle ? client.address : net_.peer(client.connection);
+  if (!number || pending_.size() >= max_pending_queries)
+    return send_error(client, query, dns::rcode::refused);
+  QueryKey key{client, query.id, query.question->name};
+  // A retransmission of a pending query gets no answer of its own.
+  if (request_by_key_.contains(key)) return;
+  const auto client_address = client.connection == no_handle ? client.address : net_.peer(client.connection);
   routes::LookUp look_up;
   look_up.number = *number;
-  look_up.tenant = selector_.route_table().tenant_of(from.host);
+  look_up.tenant = selector_.route_table().tenant_of(client_address.host);
   look_up.traffic_class = selector_.route_table().class_of(*number, look_up.tenant);
   look_up.minute_of_week = minute_of_week();
   auto choice = selector_.choose(look_up);
-  if (!choice) return reply(client, query, dns::rcode::refused);
-  // Nothing is in service where the number leads: said at once, not when the client's time is up.
-  if (choice->candidates.empty()) return reply(client, query, dns::rcode::serv_fail);
+  if (!choice) return send_error(client, query, dns::rcode::refused);
+  // No server of the route is in service: the client learns it at once, not at its deadline.
+  if (choice->candidates.empty()) return send_error(client, query, dns::rcode::serv_fail);
   const auto& policy = config_->policies[choice->policy];
-  auto gate = selector_.limiter(choice->policy);
-  if (gate->try_acquire(clock_.now_ms()) != routes::PolicyLimiter::Decision::admitted)
-    return reply(client, query, dns::rcode::refused);
-  const auto& kind = config_->settings.classes[look_up.traffic_class];
+  auto limiter = selector_.limiter(choice->policy);
+  if (limiter->try_acquire(clock_.now_ms()) != routes::PolicyLimiter::Decision::admitted)
+    return send_error(client, query, dns::rcode::refused);
+  const auto& call_class = config_->settings.classes[look_up.traffic_class];
   Request request;
   request.traffic_class = look_up.traffic_class;
-  request.circuits = kind.circuits;
-  request.class_name = kind.name;
+  request.circuits = call_class.circuits;
+  request.class_name = call_class.name;
   request.time_left_ms = config_->deadline_ms(policy, look_up.traffic_class);
   request.destination = choice->candidates.front();
   request.routed = true;
@@ -164,64 +166,67 @@
   request.wire_id = dns::name_to_text(query.question->name);
   request.key = *number;
   std::from_chars(number->data(), number->data() + number->size(), request.called_number);
-  dns::Message asked;
-  asked.recursion_desired = query.recursion_desired;
-  asked.checking_disabled = query.checking_disabled;
-  asked.question = query.question;
-  asked.edns = dns::Edns{};
-  asked.edns->udp_payload_bytes = dns::advertised_udp_payload_bytes;
-  asked.edns->dnssec_ok = query.edns && query.edns->dnssec_ok;
-  request.body = dns::serialize_message(asked);
+  dns::Message upstream_query;
+  upstream_query.recursion_desired = query.recursion_desired;
+  upstream_query.checking_disabled = query.checking_disabled;
+  upstream_query.question = query.question;
+  upstream_query.edns = dns::Edns{};
+  upstream_query.edns->udp_payload_bytes = dns::advertised_udp_payload_bytes;
+  upstream_query.edns->dnssec_ok = query.edns && query.edns->dnssec_ok;
+  request.body = dns::serialize_message(upstream_query);
   if (client.connection != no_handle && !net_.begin_request(client.connection)) {
-    gate->release();
-    return reply(client, query, dns::rcode::refused);
+    limiter->release();
+    return send_error(client, query, dns::rcode::refused);
   }
   router_.offer(*this, std::move(request), [&](Handle handle) {
-    open_[key] = handle;
-    asked_[handle] = {client, std::move(query), key, std::move(gate)};
+    request_by_key_[key] = handle;
+    pending_[handle] = {client, std::move(query), key, std::move(limiter)};
   });
 }
 
 // ---- Answers --------------------------------------------------------------------------------------------
 
-std::optional<EnumFrontend::Asked> EnumFrontend::take(Handle request) {
-  const auto it = asked_.find(request);
-  if (it == asked_.end()) return std::nullopt;
-  auto asked = std::move(it->second);
-  asked_.erase(it);
-  open_.erase(asked.key);
-  asked.gate->release();
-  if (asked.client.connection != no_handle) net_.end_request(asked.client.connection);
-  return asked;
+std::optional<EnumFrontend::PendingQuery> EnumFrontend::take_pending(Handle request) {
+  const auto it = pending_.find(request);
+  if (it == pending_.end()) return std::nullopt;
+  auto pending = std::move(it->second);
+  pending_.erase(it);
+  request_by_key_.erase(pending.key);
+  pending.limiter->release();
+  if (pending.client.connection != no_handle) net_.end_request(pending.client.connection);
+  return pending;
 }
 
 void EnumFrontend::on_request_served(Handle request, const std::string& bytes) {
-  const auto asked = take(request);
+  const auto pending = take_pending(request);
   auto answer = dns::parse_message(bytes);
-  if (!asked || !answer) return;
-  keep_relevant(*answer);
-  // Of the authority only what makes a denial complete: the zone's SOA, and what signs it.
+  if (!pending || !answer) return;
+  keep_relevant_answers(*answer);
+  // Of the authority section only the records of a negative answer are passed on: SOA, RRSIG (46), NSEC (47)
+  // and NSEC3 (50).
   std::erase_if(answer->authority, [](const auto& record) {
     return record.type != dns::type::soa && record.type != 46 && record.type != 47 && record.type != 50;
   });
-  write(asked->client, asked->query, std::move(*answer));
+  send_answer(pending->client, pending->query, std::move(*answer));
 }
 
 void EnumFrontend::on_request_refused(Handle request, double) {
-  if (const auto asked = take(request)) reply(asked->client, asked->query, dns::rcode::refused);
+  if (const auto pending = take_pending(request))
+    send_error(pending->client, pending->query, dns::rcode::refused);
 }
 
 void EnumFrontend::on_request_failed(Handle request) {
-  if (const auto asked = take(request)) reply(asked->client, asked->query, dns::rcode::serv_fail);
+  if (const auto pending = take_pending(request))
+    send_error(pending->client, pending->query, dns::rcode::serv_fail);
 }
 
-void EnumFrontend::reply(const Client& client, const dns::Message& query, std::uint16_t rcode) {
+void EnumFrontend::send_error(const Client& client, const dns::Message& query, std::uint16_t rcode) {
   dns::Message answer;
   answer.rcode = rcode;
-  write(client, query, std::move(answer));
+  send_answer(client, query, std::move(answer));
 }
 
-void EnumFrontend::write(const Client& client, const dns::Message& query, dns::Message answer) {
+void EnumFrontend::send_answer(const Client& client, const dns::Message& query, dns::Message answer) {
   answer.id = query.id;
   answer.response = true;
   answer.opcode = query.opcode;
@@ -244,8 +249,8 @@
     net_.write(client.connection, framed + bytes);
     return;
   }
-  const std::size_t most = query.edns ? query.edns->udp_payload_bytes : dns::default_udp_payload_bytes;
-  datagrams_.send_to(socket_, client.address, dns::serialize_within(answer, most));
+  const std::size_t max_bytes = query.edns ? query.edns->udp_payload_bytes : dns::default_udp_payload_bytes;
+  datagrams_.send_to(socket_, client.address, dns::serialize_within(answer, max_bytes));
 }
 
 }  // namespace heathturn
--- a/src/enum/enum_frontend.hpp
+++ b/src/enum/enum_frontend.hpp
@@ -1,4 +1,4 @@
-// The ENUM front: NAPTR queries for numbers, over UDP and TCP, as requests.
+// The frontend of the ENUM service: turns NAPTR queries for numbers, over UDP and TCP, into requests.
 #pragma once
 
 #include <map>
@@ -15,15 +15,17 @@
 
 namespace heathturn {
 
+/// Listens for DNS queries, offers them to the router as requests and answers them.
 class EnumFrontend : public Frontend, public ConnectionUser, public DatagramUser {
  public:
   EnumFrontend(Clock& clock, TimerQueue& timers, Connections& net, Datagrams& datagrams, Router& router,
                routes::Selector& selector, std::shared_ptr<const EnumConfig> config);
-  /// Takes look-ups by other settings from now on; those open go on as they began.
+  /// Applies a new configuration to later queries; pending requests keep the one they began with.
   void set_config(std::shared_ptr<const EnumConfig> config) { config_ = std::move(config); }
-  /// Returns where it listens.
+  /// Listens for UDP and TCP on one port and returns its address. Throws std::runtime_error on failure.
   Address listen();
-  void refuse_new_requests() { door_closed_ = true; }
+  /// Answers every later query with REFUSED.
+  void refuse_new_requests() { refusing_new_requests_ = true; }
 
   void on_request_served(Handle request, const std::string& answer) override;
   void on_request_refused(Handle request, double wait_ms) override;
@@ -36,27 +38,27 @@
   void on_ended(Handle connection, const char* reason) override;
 
  private:
-  /// Where an answer goes: to an address, or down a connection.
+  /// The origin of a query and destination of its answer: an address for UDP, a connection for TCP.
   struct Client {
     Address address;
     Handle connection = no_handle;
     auto operator<=>(const Client&) const = default;
   };
-  using Key = std::tuple<Client, std::uint16_t, std::string>;  ///< with the id and the question
-  struct Asked {
+  using QueryKey = std::tuple<Client, std::uint16_t, std::string>;  ///< client, message id, name asked for
+  struct PendingQuery {
     Client client;
     dns::Message query;
-    Key key;
-    std::shared_ptr<routes::PolicyLimiter> gate;  ///< of the policy that it began under
+    QueryKey key;
+    std::shared_ptr<routes::PolicyLimiter> limiter;  ///< of the policy under which the request began
   };
   void on_query(const Client& client, const std::string& bytes);
   void open_request(const Client& client, dns::Message query);
   [[nodiscard]] std::uint16_t minute_of_week();
-  void reply(const Client& client, const dns::Message& query, std::uint16_t rcode);
-  void write(const Client& client, const dns::Message& query, dns::Message answer);
-  /// Takes the request out of the tables; nothing when its client has left.
-  std::optional<Asked> take(Handle request);
-  void expect_query(Handle connection);
+  void send_error(const Client& client, const dns::Message& query, std::uint16_t rcode);
+  void send_answer(const Client& client, const dns::Message& query, dns::Message answer);
+  /// Removes the query from the tables and returns it; nothing when its client has left.
+  std::optional<PendingQuery> take_pending(Handle request);
+  void restart_idle_timer(Handle connection);
 
   Clock& clock_;
   TimerQueue& timers_;
@@ -66,12 +68,12 @@
   routes::Selector& selector_;
   std::shared_ptr<const EnumConfig> config_;
   Handle socket_ = no_handle;
-  std::unordered_map<Handle, Asked> asked_;
-  std::map<Key, Handle> open_;
-  std::map<Handle, TimerQueue::Key> idle_;  ///< by connection
-  bool door_closed_ = false;
-  double minute_until_ = 0;  ///< the minute of the week as last worked out holds until then
-  std::uint16_t minute_ = 0;
+  std::unordered_map<Handle, PendingQuery> pending_;  ///< by request
+  std::map<QueryKey, Handle> request_by_key_;
+  std::map<Handle, TimerQueue::Key> idle_timers_;  ///< by connection
+  bool refusing_new_requests_ = false;
+  double minute_expires_ms_ = 0;  ///< until then, minute_of_week_ is current
+  std::uint16_t minute_of_week_ = 0;
 };
 
 }  // namespace heathturn
--- a/src/enum/enum_service.hpp
+++ b/src/enum/enum_service.hpp
@@ -1,4 +1,4 @@
-// The ENUM front and its upstreams round a core of their own.
+// The ENUM service: its frontend, router and backend, and the reload of its configuration.
 #pragma once
 
 #include <atomic>
@@ -14,35 +14,37 @@
 
 namespace heathturn {
 
+/// Answers ENUM queries by look-ups at the name servers of the configured pools.
 class EnumService : public Service {
  public:
-  /// `path`: where the settings were read, for reload().
+  /// `path`: the file that `config` was read from, for reload(). Throws InputError when the TLS files of a
+  /// pool cannot be used, and std::invalid_argument when a setting is out of range.
   EnumService(Program& program, EnumConfig config, std::string path, std::uint64_t seed);
   [[nodiscard]] const char* kind() const override { return "enum"; }
   void start() override;
   void reload(std::function<void(const std::string&)> done) override;
-  [[nodiscard]] bool has_background_work() const override { return loading_ != nullptr; }
+  [[nodiscard]] bool has_background_work() const override { return pending_load_ != nullptr; }
   void refuse_new_requests() override { frontend_.refuse_new_requests(); }
   [[nodiscard]] Router& router() override { return router_; }
   [[nodiscard]] std::vector<ConverterView> converters() const override { return backend_.server_views(); }
-  [[nodiscard]] double max_request_ms() const override { return longest_ms_; }
+  [[nodiscard]] double max_request_ms() const override { return max_request_ms_; }
   [[nodiscard]] std::string extra_status() const override;
   void deregister() override;
   [[nodiscard]] bool deregistering() const override;
 
  private:
-  /// A version being read beside the loop: files may be large, and their disk slow.
-  struct Loading {
+  /// A configuration that a thread of its own loads: files may be large and the disk slow.
+  struct PendingLoad {
     std::atomic<bool> done{false};
     std::shared_ptr<const EnumConfig> config;
     std::shared_ptr<routes::Selector::PreparedConfig> prepared;
     EnumBackend::TlsContexts contexts;
     SiteDifference difference;
-    std::string fault;
+    std::string error;  ///< empty on success
   };
-  void poll_loading(const std::function<void(const std::string&)>& done);
-  void take(Loading& loading);
-  void list_members();
+  void poll_pending_load(const std::function<void(const std::string&)>& done);
+  void apply(PendingLoad& load);
+  void update_members();
   void warn_of_expiry();
 
   Program& program_;
@@ -51,13 +53,13 @@
   Router router_;
   routes::Selector selector_;
   EnumBackend backend_;
-  EnumBackend::TlsContexts contexts_;  ///< of each pool
+  EnumBackend::TlsContexts contexts_;
   EnumFrontend frontend_;
-  std::vector<std::unique_ptr<EurekaClient>> registries_;
-  std::shared_ptr<Loading> loading_;
-  bool load_again_ = false;  ///< asked for while one was under way
-  double longest_ms_ = 0;
-  std::map<std::string, int> warned_;  ///< days last told of, by file
+  std::vector<std::unique_ptr<EurekaClient>> registry_clients_;
+  std::shared_ptr<PendingLoad> pending_load_;
+  bool reload_requested_ = false;  ///< while another reload was in progress
+  double max_request_ms_ = 0;
+  std::map<std::string, int> warned_days_;  ///< last warning threshold reached, in days, by file
 };
 
 }  // namespace heathturn
--- a/tests/router/codec_test.cpp
+++ b/tests/router/codec_test.cpp
@@ -64,64 +64,64 @@
   return message;
 }
 
-TEST_CASE("a DNS message goes there and back") {
+TEST_CASE("a DNS message is parsed as it was serialized") {
   auto message = naptr_answer();
   message.edns = dns::Edns{1232, 0, 0, true};
-  const auto again = dns::parse_message(dns::serialize_message(message));
-  REQUIRE(again);
-  CHECK(again->id == 7);
-  CHECK(again->question->matches(*message.question));
-  REQUIRE(again->answers.size() == 1);
-  CHECK(again->answers[0].data == message.answers[0].data);
-  CHECK(again->edns->udp_payload_bytes == 1232);
-  CHECK(again->edns->dnssec_ok);
+  const auto parsed = dns::parse_message(dns::serialize_message(message));
+  REQUIRE(parsed);
+  CHECK(parsed->id == 7);
+  CHECK(parsed->question->matches(*message.question));
+  REQUIRE(parsed->answers.size() == 1);
+  CHECK(parsed->answers[0].data == message.answers[0].data);
+  CHECK(parsed->edns->udp_payload_bytes == 1232);
+  CHECK(parsed->edns->dnssec_ok);
 }
 
-TEST_CASE("no message cut short, and none with bytes left over, is taken") {
+TEST_CASE("a DNS message that is cut short, or has surplus bytes, is not parsed") {
   const auto bytes = dns::serialize_message(naptr_answer());
   for (std::size_t i = 0; i < bytes.size(); ++i) CHECK_FALSE(dns::parse_message(bytes.substr(0, i)));
   CHECK(dns::parse_message(bytes));
   CHECK_FALSE(dns::parse_message(bytes + "x"));
 }
 
-TEST_CASE("compression is followed backwards only") {
+TEST_CASE("a compression pointer is followed backwards only") {
   auto bytes = dns::serialize_message(naptr_answer());
   const auto owner = bytes.find(naptr_answer().question->name, 12 + 1);
   const auto length = naptr_answer().question->name.size();
-  const auto with = [&](const std::string& pointer) {
+  const auto parse_with_owner = [&](const std::string& pointer) {
     return dns::parse_message(bytes.substr(0, owner) + pointer + bytes.substr(owner + length));
   };
-  REQUIRE(with("\xc0\x0c"));
-  CHECK(with("\xc0\x0c")->answers[0].name == naptr_answer().question->name);
+  REQUIRE(parse_with_owner("\xc0\x0c"));
+  CHECK(parse_with_owner("\xc0\x0c")->answers[0].name == naptr_answer().question->name);
   const auto self = std::string("\xc0") + static_cast<char>(owner);
-  CHECK_FALSE(with(self));                                                // to itself
-  CHECK_FALSE(with(std::string("\xc0") + static_cast<char>(owner + 2)));  // forwards
-  CHECK_FALSE(with(std::string("\1a") + self));                           // round in a circle
-  CHECK_FALSE(with("\x80"));                                              // no such kind of label
+  CHECK_FALSE(parse_with_owner(self));                                                // a pointer to itself
+  CHECK_FALSE(parse_with_owner(std::string("\xc0") + static_cast<char>(owner + 2)));  // a forward pointer
+  CHECK_FALSE(parse_with_owner(std::string("\1a") + self));                           // a loop
+  CHECK_FALSE(parse_with_owner("\x80"));  // an undefined label type
 }
 
-TEST_CASE("what does not fit is cut whole, and said to be") {
+TEST_CASE("an answer that does not fit is omitted whole, and the message is marked as truncated") {
   auto message = naptr_answer();
   message.answers.resize(40, message.answers[0]);
-  const auto cut = dns::serialize_within(message, 512);
-  CHECK(cut.size() <= 512);
-  const auto read = dns::parse_message(cut);
-  REQUIRE(read);
-  CHECK(read->truncated);
-  CHECK(read->answers.empty());
+  const auto bytes = dns::serialize_within(message, 512);
+  CHECK(bytes.size() <= 512);
+  const auto parsed = dns::parse_message(bytes);
+  REQUIRE(parsed);
+  CHECK(parsed->truncated);
+  CHECK(parsed->answers.empty());
   CHECK_FALSE(dns::parse_message(dns::serialize_within(message, 65535))->truncated);
 }
 
-TEST_CASE("a name under the suffix is a number, digit by digit") {
-  const auto number = [](const std::string& text) {
+TEST_CASE("a name under the suffix is converted to its number") {
+  const auto number_of = [](const std::string& text) {
     return dns::number_from_name(*dns::name_from_text(text), "enum.example.org").value_or("none");
   };
-  CHECK(number("3.2.1.4.6.ENUM.example.org") == "64123");
-  CHECK(number("enum.example.org") == "none");
-  CHECK(number("12.4.enum.example.org") == "none");
-  CHECK(number("a.4.enum.example.org") == "none");
-  CHECK(number("4.enum.example.com") == "none");
-  CHECK(number("1.2.3.4.5.6.7.8.9.0.1.2.3.4.5.6.enum.example.org") == "none");
+  CHECK(number_of("3.2.1.4.6.ENUM.example.org") == "64123");
+  CHECK(number_of("enum.example.org") == "none");
+  CHECK(number_of("12.4.enum.example.org") == "none");
+  CHECK(number_of("a.4.enum.example.org") == "none");
+  CHECK(number_of("4.enum.example.com") == "none");
+  CHECK(number_of("1.2.3.4.5.6.7.8.9.0.1.2.3.4.5.6.enum.example.org") == "none");
   CHECK_FALSE(dns::name_from_text("a..b"));
   CHECK_FALSE(dns::name_from_text(std::string(64, 'a') + ".b"));
 }
--- a/tests/router/enum_fixture.hpp
+++ b/tests/router/enum_fixture.hpp
@@ -1,4 +1,5 @@
-// The program as an ENUM server, with the name servers that it asks and a resolver that asks it.
+// Fixture of the ENUM tests: the real program as an ENUM server, and sockets that act as its name servers and
+// as a resolver.
 #pragma once
 
 #include "enum/dns.hpp"
@@ -7,45 +8,49 @@
 
 namespace heathturn::test {
 
-inline constexpr int deadline_ms = 1500;
+inline constexpr int deadline_ms = 1500;  ///< of a look-up, as site_header() sets it
 
-/// Two name servers that the tests play: numbers under 64 go to the first, all others to the second.
+/// Runs the program with two name servers, whose queries the tests answer. By default, numbers with prefix 64
+/// are routed to the first one, all others to the second.
 struct EnumFixture {
-  std::vector<Socket> udp, tcp;
+  std::vector<Socket> udp, tcp;  ///< of the name servers, by index
   std::unique_ptr<TempFile> file;
   std::unique_ptr<Process> program;
   Address server_address;
   Socket resolver = Socket::bound(SOCK_DGRAM);
 
-  explicit EnumFixture(int lookups = 8, const std::string& more = "", bool only_eureka = false,
-                       const std::vector<std::string>& arguments = {}) {
-    bind();
+  /// `max_look_ups`: limit of each name server. `from_registry_only`: the pools get their members from
+  /// registry "r", which `extra_settings` must define.
+  explicit EnumFixture(int max_look_ups = 8, const std::string& extra_settings = "",
+                       bool from_registry_only = false, const std::vector<std::string>& arguments = {}) {
+    bind_name_servers();
     std::string pools;
     for (std::size_t i = 0; i < 2; ++i) {
       const auto number = std::to_string(i);
-      pools += "pool { name: \"pool" + number + "\" " +
-               (only_eureka ? "from_registry { registry: \"r\" application: \"ns\" number: " + number + " }"
-                            : "member { name: \"ns" + number + "\" address: \"" + udp[i].address().text() +
-                                  "\" most_requests: " + std::to_string(lookups) + " }") +
-               " }\n";
+      pools +=
+          "pool { name: \"pool" + number + "\" " +
+          (from_registry_only ? "from_registry { registry: \"r\" application: \"ns\" number: " + number + " }"
+                              : "member { name: \"ns" + number + "\" address: \"" + udp[i].address().text() +
+                                    "\" most_requests: " + std::to_string(max_look_ups) + " }") +
+          " }\n";
     }
-    start(site_header() + pools + more + routes("pool0", "pool1"), arguments);
+    start(site_header() + pools + extra_settings + routes("pool0", "pool1"), arguments);
   }
-  /// With a site of the test's own; `$0` and `$1` stand for the addresses of the name servers.
+  /// Uses other pools and routes; `$0` and `$1` in `text` stand for the addresses of the name servers.
   explicit EnumFixture(const std::string& text, const std::vector<std::string>& arguments = {}) {
-    bind();
+    bind_name_servers();
     start(site_header() + with_addresses(text), arguments);
   }
   [[nodiscard]] std::string with_addresses(std::string text) const {
     for (std::size_t i = 0; i < 2; ++i) {
-      const auto word = "$" + std::to_string(i);
-      for (auto at = text.find(word); at != std::string::npos; at = text.find(word)) {
-        text.replace(at, word.size(), udp[i].address().text());
+      const auto placeholder = "$" + std::to_string(i);
+      for (auto at = text.find(placeholder); at != std::string::npos; at = text.find(placeholder)) {
+        text.replace(at, placeholder.size(), udp[i].address().text());
       }
     }
     return text;
   }
-  void bind() {
+  void bind_name_servers() {
     for (int i = 0; i < 2; ++i) {
       auto [datagrams, streams] = Socket::bound_pair();
       udp.push_back(std::move(datagrams));
@@ -54,23 +59,25 @@
   }
   void start(const std::string& text, const std::vector<std::string>& arguments) {
     file = std::make_unique<TempFile>(text);
-    std::vector<std::string> words = {"serve", "--site", file->path()};
-    words.insert(words.end(), arguments.begin(), arguments.end());
-    program = std::make_unique<Process>(words);
+    std::vector<std::string> command = {"serve", "--site", file->path()};
+    command.insert(command.end(), arguments.begin(), arguments.end());
+    program = std::make_unique<Process>(command);
     server_address = program->listening("resolver");
   }
+  /// The settings that every test needs besides pools and routes.
   static std::string site_header() {
     return "listen: \"127.0.0.1:0\"\nsuffix: \"enum.example.org\"\ndecisions { attempts: 3 }\n"
            "class { name: \"a\" aim: \"1s\" give_up: \"1500ms\" }\n";
   }
-  /// Numbers under 64 to the one first, all others to the other.
-  static std::string routes(const std::string& under_64, const std::string& others) {
-    const auto route = [](const std::string& prefix, const std::string& first, const std::string& then) {
-      return "route { prefix: \"" + prefix + "\" to { pool: \"" + first + "\" } to { pool: \"" + then +
+  /// Routes numbers with prefix 64 to the first pool, all others to the second; each falls back to the other.
+  static std::string routes(const std::string& pool_for_64, const std::string& pool_for_others) {
+    const auto route = [](const std::string& prefix, const std::string& first, const std::string& fallback) {
+      return "route { prefix: \"" + prefix + "\" to { pool: \"" + first + "\" } to { pool: \"" + fallback +
              "\" } }\n";
     };
-    return route("64", under_64, others) + route("", others, under_64);
+    return route("64", pool_for_64, pool_for_others) + route("", pool_for_others, pool_for_64);
   }
+  /// A NAPTR query of the resolver.
   static dns::Message query(const std::string& name, std::uint16_t id = 77) {
     dns::Message out;
     out.id = id;
@@ -78,36 +85,44 @@
     out.question = dns::Question{*dns::name_from_text(name), dns::type::naptr, 1};
     return out;
   }
+  /// The name of a number, given as its digits in reverse order separated by dots.
   static std::string enum_name(const std::string& labels) { return labels + ".enum.example.org"; }
+  /// Sends a query of the resolver to the program.
   void send_query(const dns::Message& message) const {
     resolver.send_to(server_address, dns::serialize_message(message));
   }
+  /// Waits for the program's next answer to the resolver.
   [[nodiscard]] dns::Message receive_answer() const {
     const auto message = dns::parse_message(resolver.receive());
     REQUIRE(message);
     return *message;
   }
+  /// Sends a query and waits for its answer.
   dns::Message resolve(const dns::Message& message) const {
     send_query(message);
     return receive_answer();
   }
+  /// A query that a name server received from the program.
   struct ReceivedQuery {
     dns::Message message;
     Address from;
   };
-  [[nodiscard]] ReceivedQuery receive_query(std::size_t which) const {
+  /// Waits for the next UDP query to a name server.
+  [[nodiscard]] ReceivedQuery receive_query(std::size_t name_server) const {
     ReceivedQuery out;
-    const auto message = dns::parse_message(udp[which].receive(&out.from));
+    const auto message = dns::parse_message(udp[name_server].receive(&out.from));
     REQUIRE(message);
     out.message = *message;
     return out;
   }
+  /// A NAPTR record that leads to the URI.
   static dns::Record naptr(const dns::Message& query, const std::string& uri) {
     const auto text = "!^.*$!" + uri + "!";
     std::string data("\0\1\0\2\1u\7E2U+sip", 14);
     data.push_back(static_cast<char>(text.size()));
     return {query.question->name, dns::type::naptr, 1, 60, data + text + '\0'};
   }
+  /// A name server's reply with this number of equal NAPTR records.
   static dns::Message reply(const dns::Message& query, const std::string& uri, std::size_t records = 1) {
     auto out = query;
     out.response = true;
@@ -115,11 +130,13 @@
     for (std::size_t i = 0; i < records; ++i) out.answers.push_back(naptr(query, uri));
     return out;
   }
-  void send_reply(std::size_t which, const ReceivedQuery& to, const dns::Message& message) const {
-    udp[which].send_to(to.from, dns::serialize_message(message));
+  /// Sends a name server's reply to the program.
+  void send_reply(std::size_t name_server, const ReceivedQuery& query, const dns::Message& message) const {
+    udp[name_server].send_to(query.from, dns::serialize_message(message));
   }
 };
 
+/// Whether the data of the first answer record contains the text.
 inline bool answer_contains(const dns::Message& message, const std::string& text) {
   return !message.answers.empty() && message.answers[0].data.find(text) != std::string::npos;
 }
--- a/tests/router/site_test.cpp
+++ b/tests/router/site_test.cpp
@@ -170,7 +170,8 @@
   e.file->write("console: \"/tmp/none.socket\"\n" + text);
   e.program->signal(SIGHUP);
   CHECK(e.program->log("event=configuration_kept")
-            .find("it takes a restart, and nothing of the file is taken") != std::string::npos);
+            .find("; this change requires a restart, so nothing in the file was applied") !=
+        std::string::npos);
   e.send_query(EnumFixture::query(EnumFixture::enum_name("3.9"), 3));
   const double again = now_ms();
   CHECK(e.receive_answer().id == 3);
