--- a/drill/codec.cpp
+++ b/drill/codec.cpp
@@ -92,10 +92,10 @@
   call.circuits = in.real();
   call.time_left = micros(in.number<std::uint32_t>());
   in.number<std::uint32_t>();  // tenant
-  call.destination = exchange_number(in.real());
+  call.destination = to_exchange_number(in.real());
   in.number<std::uint32_t>();  // work expected
   call.called_number = in.number<std::uint64_t>();
-  call.tandem = exchange_number(in.real());
+  call.tandem = to_exchange_number(in.real());
   return call;
 }
 
--- a/drill/host.cpp
+++ b/drill/host.cpp
@@ -4,7 +4,7 @@
 
 void InstanceHost::launch(Instance& instance, const Launch& launch) {
   auto parsed = parse_settings(launch.settings);
-  instance.columns = std::move(parsed.columns);
+  instance.columns = std::move(parsed.report_columns);
   try {
     instance.controller.emplace(std::move(parsed.settings), launch.seed);
   } catch (const std::invalid_argument& error) {
@@ -30,11 +30,11 @@
       instance.controller.reset();
     } else if (const auto* end = std::get_if<AttemptEndedRaw>(&wire_event)) {
       auto filled = end->event;
-      filled.report = to_report(instance.columns, end->figures);
+      filled.report = to_load_report(instance.columns, end->figures);
       event = filled;
     } else if (const auto* report = std::get_if<ExchangeReportRaw>(&wire_event)) {
       auto filled = report->event;
-      filled.report = to_report(instance.columns, report->figures);
+      filled.report = to_load_report(instance.columns, report->figures);
       event = filled;
     } else {
       std::visit(
--- a/src/config/convert.cpp
+++ b/src/config/convert.cpp
@@ -6,9 +6,9 @@
 #include <map>
 #include <set>
 
-#include "config/config.hpp"
 #include "config/formatter.hpp"
-#include "config/json.hpp"
+#include "config/json_object.hpp"
+#include "config/platform_config.hpp"
 #include "config/units.hpp"
 #include "core/clock.hpp"
 #include "core/router.hpp"
@@ -23,7 +23,7 @@
 
 class Converting {
  public:
-  Converting(const JsonObject& root) : root_(root), settings_(settings_of(root).settings) {}
+  Converting(const JsonObject& root) : root_(root), settings_(read_settings(root).settings) {}
 
   const config::v1::Site& run() {
     site_.set_listen(root_.text("listen"));
@@ -169,7 +169,7 @@
 
 }  // namespace
 
-std::string convert_old_site(const std::string& name, const std::string& json) {
+std::string convert_json_site(const std::string& name, const std::string& json) {
   rapidjson::Document document;
   parse_json(document, json, name);
   const JsonObject root(document, "");
--- a/src/config/convert.hpp
+++ b/src/config/convert.hpp
@@ -1,11 +1,14 @@
-// The JSON form of the ENUM file of version 0.3 and before, rewritten as the operator's file is now.
+// Converts the JSON form of the ENUM configuration (version 0.3 and earlier) to the operator's current
+// format.
 #pragma once
 
 #include <string>
 
 namespace heathturn {
 
-/// `name`: the old file's, for the first line. Throws InputError naming what cannot be carried over.
-[[nodiscard]] std::string convert_old_site(const std::string& name, const std::string& json);
+/// Returns the text of the operator's file for a JSON configuration. `name` is the JSON file's name, stated
+/// in the first line. Throws InputError naming what cannot be converted, and ConfigError when the result does
+/// not parse.
+[[nodiscard]] std::string convert_json_site(const std::string& name, const std::string& json);
 
 }  // namespace heathturn
--- a/src/config/enum_config.hpp
+++ b/src/config/enum_config.hpp
@@ -1,5 +1,5 @@
-// The ENUM front's settings: where it listens, who asks, which pools there are, which numbers go where and by
-// which policy. Read from the operator's file (site_reader.hpp), checked whole, with every default filled in.
+// The settings of the ENUM service: listen address, tenants, pools, routes by number prefix, and policies.
+// Read from the operator's files (site_reader.hpp), validated, with all defaults filled in.
 #pragma once
 
 #include <cstdint>
@@ -7,109 +7,119 @@
 #include <string>
 #include <vector>
 
-#include "config/config.hpp"
+#include "config/platform_config.hpp"
 #include "config/units.hpp"
 #include "handshakes/admission.hpp"
 #include "net/tls/tls_config.hpp"
 
 namespace heathturn {
 
-/// In place of an index: any class, any tenant, at all times, none.
-inline constexpr std::uint32_t any = 0xffffffff;
+/// Stands for an index that is not given: a route for any class, any tenant or all times; a tenant without a
+/// class of its own; a policy without a base.
+inline constexpr std::uint32_t no_index = 0xffffffff;
 
-/// A place in a file. Lines and columns count from 1; line 0: nowhere, a built-in value.
-struct Where {
+/// A location in a file. Lines and columns count from 1; line 0 stands for a built-in value.
+struct SourceLocation {
   std::uint32_t file = 0;  ///< index into EnumConfig::files
   std::uint32_t line = 0;
   std::uint32_t column = 0;
 };
 
+/// A client of the ENUM service, recognized by its source address.
 struct Tenant {
   struct Network {
-    std::uint32_t host = 0;  ///< in host order, with no bit set beyond the length
-    int length = 32;
+    std::uint32_t host = 0;  ///< in host byte order, with no bit set beyond the prefix length
+    int prefix_length = 32;
   };
   std::string name;
-  std::uint32_t traffic_class = any;  ///< any: the number's
+  std::uint32_t traffic_class = no_index;  ///< no_index: the number's class applies
   std::vector<Network> networks;
-  Where where;
+  SourceLocation location;
 };
 
+/// A Eureka registry, and this program's own registration with it.
 struct EurekaConfig {
   std::string name;
-  Address registry;
-  std::string path;  ///< in front of "/apps"
+  Address address;
+  std::string path;  ///< prefix of "/apps" in the URL
   double fetch_every_ms = 0;
   std::string own_application;  ///< empty: this program does not register itself
   std::string own_instance;
   double heartbeat_ms = 0;
-  Where where;
+  SourceLocation location;
 };
 
+/// A converter listed in a pool.
 struct Member {
-  Converter converter;  ///< its `circuits` are the look-ups that it takes at once
+  Converter converter;  ///< its `circuits` are the look-ups allowed in flight
   double weight = 1;
   std::string zone;
 };
 
-struct FromRegistry {
-  std::uint32_t registry = 0;
+/// Members of a pool that are listed in a registry.
+struct RegistrySource {
+  std::uint32_t registry = 0;  ///< index into EnumConfig::registries
   std::string application;
-  std::optional<std::int32_t> number;  ///< only instances whose metadata give it
+  std::optional<std::int32_t> number;  ///< only instances with this number in their metadata
   double weight = 1;
 };
 
+/// A group of converters that can serve the same look-ups.
 struct Pool {
   std::string name;
   std::vector<Member> members;
-  std::optional<FromRegistry> from_registry;
-  std::uint32_t most_requests = 0;  ///< out at once; 0: no limit
-  std::vector<std::string> zones;   ///< in order of preference
+  std::optional<RegistrySource> from_registry;
+  std::uint32_t max_open_requests = 0;  ///< in flight to the whole pool; 0: no limit
+  std::vector<std::string> zones;       ///< in order of preference
   std::optional<tls::TlsConfig> tls;
-  Where where;
+  SourceLocation location;
 };
 
+/// Limits and retry rules for the look-ups of a route.
 struct Policy {
   std::string name;
-  double deadline_ms = 0;  ///< 0: the class's
-  std::uint32_t attempts = 3;
+  double deadline_ms = 0;  ///< 0: the give-up time of the class
+  std::uint32_t max_attempts = 3;
   double retry_wait_ms = 0;
-  std::uint32_t most_open = 0;  ///< 0: no limit
-  double rate = 0;              ///< look-ups a second; 0: no limit
-  double burst = 0;
-  Where where;
+  std::uint32_t max_open_requests = 0;  ///< 0: no limit
+  double rate_per_second = 0;           ///< look-ups admitted by the token bucket; 0: no limit
+  double burst = 0;                     ///< look-ups; size of the token bucket
+  SourceLocation location;
 };
 
+/// A pool of a route. Targets without a share are tried after those with one, in order.
 struct Target {
-  std::uint32_t pool = 0;
-  double share = 0;  ///< of the first choices; those of a route add up to 1
+  std::uint32_t pool = 0;  ///< index into EnumConfig::pools
+  double share = 0;        ///< of the first choices; the shares of a route add up to 1
   bool operator==(const Target&) const = default;
 };
 
+/// Which pools serve the numbers with a prefix, and on which conditions.
 struct Route {
   std::string prefix;
-  std::uint32_t traffic_class = any;
-  std::uint32_t tenant = any;
-  std::uint32_t schedule = any;  ///< index into EnumConfig::schedules
-  std::uint32_t targets = 0;     ///< index into EnumConfig::target_lists; routes may share one
-  std::uint32_t policy = 0;
-  Where where;
+  std::uint32_t traffic_class = no_index;
+  std::uint32_t tenant = no_index;
+  std::uint32_t schedule = no_index;  ///< index into EnumConfig::schedules
+  std::uint32_t target_list = 0;      ///< index into EnumConfig::target_lists; routes may share one
+  std::uint32_t policy = 0;           ///< index into EnumConfig::policies
+  SourceLocation location;
 };
 
-/// Numbers that begin so are of this class.
+/// Numbers with this prefix belong to this class.
 struct ClassPrefix {
   std::string prefix;
   std::uint32_t traffic_class = 0;
 };
 
+/// All settings of the operator's files. Classes are in settings.classes.
 struct EnumConfig {
-  std::vector<std::string> files;  ///< as named, the first one being the one asked for
+  std::vector<std::string> files;  ///< names as the operator would write them; the main file is last
   Address listen;
-  std::string suffix;   ///< in lower case, without the last dot
-  std::string console;  ///< path of the console's socket; empty: none
-  units::TimeZone zone;
-  bool has_front = true;                        ///< false: the file is of the platform's front alone
-  std::optional<tls::TlsConfig> converter_tls;  ///< towards the platform's converters
+  std::string suffix;        ///< in lower case, without the trailing dot
+  std::string console_path;  ///< of the console's Unix socket; empty: none
+  units::TimeZone time_zone;
+  bool has_enum_frontend = true;                ///< false: the file concerns the platform's converters only
+  std::optional<tls::TlsConfig> converter_tls;  ///< for connections to the platform's converters
   maddershed::Settings settings;
   handshakes::Settings handshakes;
   std::vector<ClassPrefix> class_prefixes;
@@ -122,7 +132,7 @@
   std::vector<Route> routes;  ///< in the order of the files
   double longest_deadline_ms = 0;
 
-  /// How long a request of this class may take under this policy, ms.
+  /// Time limit of a request of this class under this policy, in ms.
   [[nodiscard]] double deadline_ms(const Policy& policy, std::uint32_t traffic_class) const;
 };
 
--- a/src/config/explain.cpp
+++ b/src/config/explain.cpp
@@ -34,7 +34,7 @@
 
 std::string class_reason(const EnumConfig& config, const Question& question, std::uint32_t tenant) {
   if (!question.class_name.empty()) return "as asked";
-  if (tenant != any && config.tenants[tenant].traffic_class != any) return "the tenant's";
+  if (tenant != no_index && config.tenants[tenant].traffic_class != no_index) return "the tenant's";
   std::string longest;
   bool found = false;
   for (const auto& each : config.class_prefixes) {
@@ -66,7 +66,7 @@
   if (number.empty() || number.find_first_not_of("0123456789") != std::string::npos) {
     throw InputError("\"" + number + "\" is no number; expected digits, the country's first");
   }
-  if (!config.has_front) throw InputError("the file has no ENUM front, and no numbers");
+  if (!config.has_enum_frontend) throw InputError("the file has no ENUM front, and no numbers");
   const RouteTable table(config);
   routes::LookUp look_up;
   look_up.number = number;
@@ -79,7 +79,7 @@
   std::string out = "number " + number + "\n";
   out += "class " + config.settings.classes[look_up.traffic_class].name + " (" +
          class_reason(config, question, look_up.tenant) + ")\n";
-  out += "tenant " + (look_up.tenant == any ? "none" : config.tenants[look_up.tenant].name) + "\n";
+  out += "tenant " + (look_up.tenant == no_index ? "none" : config.tenants[look_up.tenant].name) + "\n";
   const auto to = std::min<int>(look_up.minute_of_week + 1, units::minutes_a_week);
   out += "time " + units::week_text({{look_up.minute_of_week, static_cast<std::uint16_t>(to)}}).substr(0, 9) +
          "\n";
@@ -87,22 +87,22 @@
   for (const auto& [route, fit] : table.explain(look_up)) {
     const auto conditions = conditions_text(config, *route);
     out += "route for " + numbers_text(route->prefix) + (conditions.empty() ? "" : ", " + conditions) +
-           " at " + where_text(config, route->where) + ": " + fit_text(fit) + "\n";
+           " at " + location_text(config, route->location) + ": " + fit_text(fit) + "\n";
     if (fit == RouteTable::MatchResult::matched) taken = route;
   }
   if (taken == nullptr) return out + "no route is taken: the look-up is refused\n";
-  const auto& targets = config.target_lists[taken->targets];
+  const auto& targets = config.target_lists[taken->target_list];
   out += "goes " + targets_text(config, targets) + "\n";
   for (const auto& each : targets) out += pool_text(config.pools[each.pool], config) + "\n";
   const auto& policy = config.policies[taken->policy];
-  out += "policy " + policy.name + " at " + where_text(config, policy.where) + ": deadline " +
+  out += "policy " + policy.name + " at " + location_text(config, policy.location) + ": deadline " +
          units::duration_text(config.deadline_ms(policy, look_up.traffic_class)) + ", " +
-         std::to_string(policy.attempts) + " attempts, wait " + units::duration_text(policy.retry_wait_ms) +
-         " between them\n";
+         std::to_string(policy.max_attempts) + " attempts, wait " +
+         units::duration_text(policy.retry_wait_ms) + " between them\n";
   return out;
 }
 
-std::string notes_text(const std::vector<Note>& notes) {
+std::string notes_text(const std::vector<ResolvedSetting>& notes) {
   std::size_t width = 0;
   for (const auto& each : notes)
     width = std::max(width, std::min<std::size_t>(60, each.key.size() + each.value.size() + 3));
--- a/src/config/explain.hpp
+++ b/src/config/explain.hpp
@@ -19,6 +19,6 @@
 /// Lines of text. Throws InputError when the question names what is not there.
 [[nodiscard]] std::string explain_number(const EnumConfig& config, const Question& question);
 /// One setting a line, `key = value  # origin`.
-[[nodiscard]] std::string notes_text(const std::vector<Note>& notes);
+[[nodiscard]] std::string notes_text(const std::vector<ResolvedSetting>& notes);
 
 }  // namespace heathturn
--- a/src/config/config.cpp
+++ b/src/config/platform_config.cpp
@@ -1,4 +1,4 @@
-#include "config/config.hpp"
+#include "config/platform_config.hpp"
 
 #include <algorithm>
 #include <array>
@@ -6,7 +6,7 @@
 #include <fstream>
 #include <sstream>
 
-#include "config/json.hpp"
+#include "config/json_object.hpp"
 #include "core/clock.hpp"
 #include "core/router.hpp"
 
@@ -66,9 +66,9 @@
   const auto id = parse_exchange_id(from.text("name"));
   if (!id) throw InputError(from.path("name") + " is no converter's name");
   out.entry.exchange = *id;
-  out.name = exchange_text(*id);
-  out.address = address_of(from, "address");
-  out.entry.number = exchange_number(static_cast<float>(from.number("group", -1, 65535, -1)));
+  out.name = exchange_id_text(*id);
+  out.address = read_address(from, "address");
+  out.entry.number = to_exchange_number(static_cast<float>(from.number("group", -1, 65535, -1)));
   out.entry.state = state_of(from);
   const auto zone = from.text("zone", "");
   for (std::size_t i = 0; i < zones.size(); ++i) {
@@ -80,8 +80,8 @@
 }
 
 /// The events up to now, in order: later words on a converter replace earlier ones.
-void read_known(const JsonObject& known, const std::vector<std::string>& zones, Config& config) {
-  config.known_offset = static_cast<std::uint64_t>(known.number("offset", 0, 1e18));
+void read_known(const JsonObject& known, const std::vector<std::string>& zones, PlatformConfig& config) {
+  config.bus_offset = static_cast<std::uint64_t>(known.number("offset", 0, 1e18));
   std::map<ExchangeId, Converter> list;
   const auto& batch = known.array("batch");
   for (rapidjson::SizeType i = 0; i < batch.Size(); ++i) {
@@ -97,7 +97,7 @@
       list[converter.entry.exchange] = converter;
     }
   }
-  for (auto& [id, converter] : list) config.known.push_back(converter);
+  for (auto& [id, converter] : list) config.known_converters.push_back(converter);
 }
 
 std::vector<std::string> texts(const JsonObject& from, const char* key) {
@@ -126,13 +126,13 @@
   return id;
 }
 
-std::string exchange_text(ExchangeId id) {
+std::string exchange_id_text(ExchangeId id) {
   std::array<char, 16> buffer{};
   std::snprintf(buffer.data(), buffer.size(), "s-%08x", id.value);
   return buffer.data();
 }
 
-Address address_of(const JsonObject& from, const char* key) {
+Address read_address(const JsonObject& from, const char* key) {
   const auto parsed = Address::parse(from.text(key));
   if (!parsed) throw InputError(from.path(key) + " is not an address with a port");
   return *parsed;
@@ -144,7 +144,7 @@
   return lines;
 }
 
-ParsedSettings settings_of(const JsonObject& root) {
+ParsedSettings read_settings(const JsonObject& root) {
   const auto lines = settings_text(root);
   try {
     auto parsed = parse_settings(lines);
@@ -157,13 +157,13 @@
   }
 }
 
-Config parse_config(const std::string& text) {
+PlatformConfig parse_platform_config(const std::string& text) {
   rapidjson::Document document;
   parse_json(document, text, "the configuration");
   const JsonObject root(document, "");
-  Config config;
+  PlatformConfig config;
   config.name = root.text("name", "heathturn");
-  config.listen = address_of(root, "listen");
+  config.listen = read_address(root, "listen");
   const auto seed = root.text("seed", "0");
   const char* end = seed.data() + seed.size();
   if (std::from_chars(seed.data(), end, config.seed, 16).ptr != end) {
@@ -171,24 +171,25 @@
   }
   if (root.find("limits") != nullptr) {
     const auto limits = root.object("limits");
-    config.sockets = static_cast<std::size_t>(limits.number("sockets", 16, 1e7, 1024));
-    config.memory_mb = static_cast<std::size_t>(limits.number("memory_mb", 8, 1e6, 2048));
+    config.max_sockets = static_cast<std::size_t>(limits.number("sockets", 16, 1e7, 1024));
+    config.max_memory_mb = static_cast<std::size_t>(limits.number("memory_mb", 8, 1e6, 2048));
   }
   // What peers can make the program hold stays within the memory: half of it for set-ups, whose descriptions
   // stand there twice while they wait for a connection, and a quarter for what peers leave unread.
-  const auto quarter = config.memory_mb * 1024 * 1024 / 4;
-  config.most_requests = std::clamp<std::size_t>(quarter / most_line, 64, 20000);
-  config.most_unsent = std::clamp<std::size_t>(quarter / config.sockets, 2 * most_line, std::size_t{1} << 20);
-  if (root.find("bus") != nullptr) config.bus = address_of(root, "bus");
+  const auto quarter = config.max_memory_mb * 1024 * 1024 / 4;
+  config.max_open_requests = std::clamp<std::size_t>(quarter / max_line_bytes, 64, 20000);
+  config.max_unsent_bytes =
+      std::clamp<std::size_t>(quarter / config.max_sockets, 2 * max_line_bytes, std::size_t{1} << 20);
+  if (root.find("bus") != nullptr) config.bus = read_address(root, "bus");
 
   const auto settings = root.object("settings");
-  auto parsed = settings_of(root);
+  auto parsed = read_settings(root);
   config.settings = std::move(parsed.settings);
-  config.columns = std::move(parsed.columns);
+  config.report_columns = std::move(parsed.report_columns);
   config.settings_text = settings_text(root);
   for (std::uint32_t i = 0; i < config.settings.classes.size(); ++i) {
     const auto& each = config.settings.classes[i];
-    config.classes[each.name] = i;
+    config.class_indexes[each.name] = i;
     config.longest_give_up_ms = std::max(config.longest_give_up_ms, to_ms(each.give_up_after));
   }
   if (settings.find("limits") != nullptr) {
@@ -199,7 +200,7 @@
     const auto& tenants = settings.array("tenants");
     for (rapidjson::SizeType i = 0; i < tenants.Size(); ++i) {
       const JsonObject each(tenants[i], settings.path("tenants." + std::to_string(i)));
-      config.tenants.insert(each.text("name"));
+      config.tenant_names.insert(each.text("name"));
     }
   }
   if (root.find("known") != nullptr) read_known(root.object("known"), texts(settings, "areas"), config);
--- a/src/config/settings_reader.cpp
+++ b/src/config/settings_reader.cpp
@@ -83,7 +83,7 @@
 }  // namespace
 
 /// A number of the plan travels as a real; anything that is not such a number is no exchange.
-ExchangeNumber exchange_number(float value) {
+ExchangeNumber to_exchange_number(float value) {
   if (!(value >= 0.0F) || value > 65535.0F) return no_exchange;
   return static_cast<ExchangeNumber>(value);
 }
@@ -91,7 +91,7 @@
 ParsedSettings parse_settings(const std::string& text) {
   const KeyReader keys(text);
   ParsedSettings parsed;
-  parsed.columns = keys.list("stats.columns");
+  parsed.report_columns = keys.list("stats.columns");
   auto& s = parsed.settings;
   const auto class_count = keys.count("classes.count", 1000);
   const auto circuits = keys.list("specifics.circuits_by_class");
@@ -112,7 +112,8 @@
     }
     const std::string pools_key = "specifics.skilled_pools." + std::to_string(i);
     for (const auto& pool : keys.list(pools_key)) {
-      c.skilled_pools.push_back(exchange_number(static_cast<float>(KeyReader::to_number(pools_key, pool))));
+      c.skilled_pools.push_back(
+          to_exchange_number(static_cast<float>(KeyReader::to_number(pools_key, pool))));
     }
     s.classes.push_back(std::move(c));
   }
@@ -139,7 +140,7 @@
   return parsed;
 }
 
-LoadReport to_report(const std::vector<std::string>& columns, const std::vector<float>& figures) {
+LoadReport to_load_report(const std::vector<std::string>& columns, const std::vector<float>& figures) {
   LoadReport report;
   for (std::size_t i = 0; i < std::min(columns.size(), figures.size()); ++i) {
     const std::string_view name = columns[i];
--- a/src/config/settings_reader.hpp
+++ b/src/config/settings_reader.hpp
@@ -1,5 +1,5 @@
-// The settings of the decision module, read from the `path=value` lines that the simulator's wire and the
-// platform's configuration share. The adapter and the call router both read them here.
+// Parses the decision module's settings from `path=value` lines, the form shared by the simulator's wire
+// protocol and the platform's configuration. Both the adapter and the call router use it.
 #pragma once
 
 #include <stdexcept>
@@ -10,22 +10,28 @@
 
 namespace maddershed {
 
-/// Input that cannot be used; the text says what and where.
+/// Invalid input; what() names the fault and the key or place.
 class InputError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
+/// The settings of the decision module, and the layout of its load reports.
 struct ParsedSettings {
   Settings settings;
-  std::vector<std::string> columns;  ///< figures of a report, in order
+  std::vector<std::string> report_columns;  ///< names of a load report's figures, in order
 };
-/// Throws InputError naming the key when a required setting is missing or is not a number.
+
+/// Parses `path=value` lines. Throws InputError naming the key when a required setting is missing, or a value
+/// is not a number or is out of range.
 [[nodiscard]] ParsedSettings parse_settings(const std::string& text);
-/// Columns that are not known, and figures beyond the columns, are skipped.
-[[nodiscard]] LoadReport to_report(const std::vector<std::string>& columns,
-                                   const std::vector<float>& figures);
-/// A number of the plan travels as a real; anything that is not such a number is no exchange.
-[[nodiscard]] ExchangeNumber exchange_number(float value);
+
+/// Builds a load report from figures in the order of `columns`. Unknown columns, and figures without a
+/// column, are ignored.
+[[nodiscard]] LoadReport to_load_report(const std::vector<std::string>& columns,
+                                        const std::vector<float>& figures);
+
+/// Converts an exchange number, which travels as a float; a value outside 0 to 65535 gives no_exchange.
+[[nodiscard]] ExchangeNumber to_exchange_number(float value);
 
 }  // namespace maddershed
--- a/src/config/site_diff.cpp
+++ b/src/config/site_diff.cpp
@@ -19,9 +19,9 @@
 using routes::RouteTable;
 using units::minutes_a_week;
 
-constexpr std::size_t most_shown = 5;      // numbers named in one sentence
-constexpr std::size_t most_cases = 20000;  // of class, tenant and time looked at for one prefix
-constexpr std::uint32_t other = any - 1;   // a class that no route names
+constexpr std::size_t most_shown = 5;          // numbers named in one sentence
+constexpr std::size_t most_cases = 20000;      // of class, tenant and time looked at for one prefix
+constexpr std::uint32_t other = no_index - 1;  // a class that no route names
 
 std::string quoted(const std::string& text) { return text.empty() ? "none" : text; }
 std::string limit_text(std::uint32_t limit) { return limit == 0 ? "no limit" : std::to_string(limit); }
@@ -97,9 +97,9 @@
   void site() {
     value("site", "", "listen", a_.listen.text(), b_.listen.text(), true);
     value("site", "", "suffix", a_.suffix, b_.suffix);
-    value("site", "", "console", quoted(a_.console), quoted(b_.console), true);
+    value("site", "", "console", quoted(a_.console_path), quoted(b_.console_path), true);
     value("site", "", "converters' TLS", tls_text(a_.converter_tls), tls_text(b_.converter_tls));
-    value("site", "", "time_zone", units::zone_text(a_.zone), units::zone_text(b_.zone));
+    value("site", "", "time_zone", units::zone_text(a_.time_zone), units::zone_text(b_.time_zone));
   }
 
   void decisions() {
@@ -143,14 +143,14 @@
                 time("class", subject, "aim", a.set_up_objective, b.set_up_objective, true);
                 time("class", subject, "give_up", a.give_up_after, b.give_up_after, true);
               });
-    if (!a_.has_front || !b_.has_front) return;
+    if (!a_.has_enum_frontend || !b_.has_enum_frontend) return;
     // Which numbers are of which class, by the effect and not by who says it.
     std::set<std::string> prefixes{""};
     for (const auto& each : a_.class_prefixes) prefixes.insert(each.prefix);
     for (const auto& each : b_.class_prefixes) prefixes.insert(each.prefix);
     for (const auto& prefix : prefixes) {
-      const auto& was = a_.settings.classes[table_a_.class_of(prefix, any)].name;
-      const auto& is = b_.settings.classes[table_b_.class_of(prefix, any)].name;
+      const auto& was = a_.settings.classes[table_a_.class_of(prefix, no_index)].name;
+      const auto& is = b_.settings.classes[table_b_.class_of(prefix, no_index)].name;
       const auto subject = prefix.empty() ? "numbers of no other class" : numbers_text(prefix);
       value("class", subject, "class", was, is);
     }
@@ -168,15 +168,16 @@
     each_name("tenant", a_.tenants, b_.tenants, false,
               [this](const std::string& subject, const Tenant& a, const Tenant& b) {
                 const auto class_text = [](const EnumConfig& config, const Tenant& tenant) {
-                  return tenant.traffic_class == any ? "the number's"
-                                                     : config.settings.classes[tenant.traffic_class].name;
+                  return tenant.traffic_class == no_index
+                             ? "the number's"
+                             : config.settings.classes[tenant.traffic_class].name;
                 };
                 value("tenant", subject, "class", class_text(a_, a), class_text(b_, b));
                 const auto networks = [](const Tenant& tenant) {
                   std::set<std::string> out;
                   for (const auto& each : tenant.networks) {
                     const auto host = Address{each.host, 0}.text();
-                    out.insert(host.substr(0, host.find(':')) + "/" + std::to_string(each.length));
+                    out.insert(host.substr(0, host.find(':')) + "/" + std::to_string(each.prefix_length));
                   }
                   return out;
                 };
@@ -193,7 +194,7 @@
   void registries() {
     each_name("registry", a_.registries, b_.registries, true,
               [this](const std::string& subject, const EurekaConfig& a, const EurekaConfig& b) {
-                value("registry", subject, "address", a.registry.text(), b.registry.text(), true);
+                value("registry", subject, "address", a.address.text(), b.address.text(), true);
                 value("registry", subject, "path", quoted(a.path), quoted(b.path), true);
                 value("registry", subject, "fetch_every", units::duration_text(a.fetch_every_ms),
                       units::duration_text(b.fetch_every_ms), true);
@@ -235,38 +236,39 @@
   }
 
   void pools() {
-    each_name(
-        "pool", a_.pools, b_.pools, false, [this](const std::string& subject, const Pool& a, const Pool& b) {
-          value("pool", subject, "most_requests", limit_text(a.most_requests), limit_text(b.most_requests));
-          value("pool", subject, "zones", zones_text(a.zones), zones_text(b.zones));
-          value("pool", subject, "TLS", tls_text(a.tls), tls_text(b.tls));
-          value("pool", subject, "members from registry", from_text(a_, a), from_text(b_, b));
-          std::map<std::string, const Member*> old, fresh;
-          for (const auto& each : a.members) old[each.converter.name] = &each;
-          for (const auto& each : b.members) fresh[each.converter.name] = &each;
-          for (const auto& [name, member] : old) {
-            const auto it = fresh.find(name);
-            const auto key = "member " + name;
-            if (it == fresh.end()) {
-              add("pool", subject, subject + ": " + key + " gone");
-              continue;
-            }
-            const auto& is = *it->second;
-            value("pool", subject, key + " address", member->converter.address.text(),
-                  is.converter.address.text());
-            value("pool", subject, key + " weight", units::number_text(member->weight),
-                  units::number_text(is.weight));
-            value("pool", subject, key + " zone", quoted(member->zone), quoted(is.zone));
-            value("pool", subject, key + " most_requests", std::to_string(member->converter.circuits),
-                  std::to_string(is.converter.circuits));
-          }
-          for (const auto& [name, member] : fresh) {
-            if (old.contains(name)) continue;
-            add("pool", subject,
-                subject + ": member " + name + " new, at " + member->converter.address.text() + ", weight " +
-                    units::number_text(member->weight));
-          }
-        });
+    each_name("pool", a_.pools, b_.pools, false,
+              [this](const std::string& subject, const Pool& a, const Pool& b) {
+                value("pool", subject, "most_requests", limit_text(a.max_open_requests),
+                      limit_text(b.max_open_requests));
+                value("pool", subject, "zones", zones_text(a.zones), zones_text(b.zones));
+                value("pool", subject, "TLS", tls_text(a.tls), tls_text(b.tls));
+                value("pool", subject, "members from registry", from_text(a_, a), from_text(b_, b));
+                std::map<std::string, const Member*> old, fresh;
+                for (const auto& each : a.members) old[each.converter.name] = &each;
+                for (const auto& each : b.members) fresh[each.converter.name] = &each;
+                for (const auto& [name, member] : old) {
+                  const auto it = fresh.find(name);
+                  const auto key = "member " + name;
+                  if (it == fresh.end()) {
+                    add("pool", subject, subject + ": " + key + " gone");
+                    continue;
+                  }
+                  const auto& is = *it->second;
+                  value("pool", subject, key + " address", member->converter.address.text(),
+                        is.converter.address.text());
+                  value("pool", subject, key + " weight", units::number_text(member->weight),
+                        units::number_text(is.weight));
+                  value("pool", subject, key + " zone", quoted(member->zone), quoted(is.zone));
+                  value("pool", subject, key + " most_requests", std::to_string(member->converter.circuits),
+                        std::to_string(is.converter.circuits));
+                }
+                for (const auto& [name, member] : fresh) {
+                  if (old.contains(name)) continue;
+                  add("pool", subject,
+                      subject + ": member " + name + " new, at " + member->converter.address.text() +
+                          ", weight " + units::number_text(member->weight));
+                }
+              });
   }
 
   void policies() {
@@ -277,15 +279,17 @@
                                                  : units::duration_text(policy.deadline_ms);
                 };
                 const auto rate = [](const Policy& policy) {
-                  return policy.rate == 0
-                             ? "no limit"
-                             : units::rate_text(policy.rate) + " burst " + units::number_text(policy.burst);
+                  return policy.rate_per_second == 0 ? "no limit"
+                                                     : units::rate_text(policy.rate_per_second) + " burst " +
+                                                           units::number_text(policy.burst);
                 };
                 value("policy", subject, "deadline", deadline(a), deadline(b));
-                value("policy", subject, "attempts", std::to_string(a.attempts), std::to_string(b.attempts));
+                value("policy", subject, "attempts", std::to_string(a.max_attempts),
+                      std::to_string(b.max_attempts));
                 value("policy", subject, "retry_wait", units::duration_text(a.retry_wait_ms),
                       units::duration_text(b.retry_wait_ms));
-                value("policy", subject, "most_open", limit_text(a.most_open), limit_text(b.most_open));
+                value("policy", subject, "most_open", limit_text(a.max_open_requests),
+                      limit_text(b.max_open_requests));
                 value("policy", subject, "rate", rate(a), rate(b));
               });
   }
@@ -299,9 +303,9 @@
   };
 
   const Effect& effect(const Route* was, const Route* is) {
-    constexpr auto no_route = std::pair(any, any);
+    constexpr auto no_route = std::pair(no_index, no_index);
     const auto key_of = [&](const Route* route) {
-      return route == nullptr ? no_route : std::pair(route->targets, route->policy);
+      return route == nullptr ? no_route : std::pair(route->target_list, route->policy);
     };
     const auto [it, fresh] = effects_.try_emplace(std::pair(key_of(was), key_of(is)));
     if (fresh) it->second = describe(was, is);
@@ -311,12 +315,12 @@
   Effect describe(const Route* was, const Route* is) const {
     if (was == nullptr && is == nullptr) return {};
     if (was == nullptr) {
-      return {"new: " + targets_text(b_, b_.target_lists[is->targets]) + "; policy " +
+      return {"new: " + targets_text(b_, b_.target_lists[is->target_list]) + "; policy " +
                   b_.policies[is->policy].name,
               true};
     }
     if (is == nullptr) {
-      return {"no route any more, was " + targets_text(a_, a_.target_lists[was->targets]) + "; policy " +
+      return {"no route any more, was " + targets_text(a_, a_.target_lists[was->target_list]) + "; policy " +
                   a_.policies[was->policy].name,
               true};
     }
@@ -324,7 +328,7 @@
     const auto say = [&out](const std::string& words) { out.text += (out.text.empty() ? "" : "; ") + words; };
     const auto names = [](const EnumConfig& config, const Route& route) {
       std::vector<std::pair<std::string, double>> list;
-      for (const auto& each : config.target_lists[route.targets])
+      for (const auto& each : config.target_lists[route.target_list])
         list.emplace_back(config.pools[each.pool].name, each.share);
       return list;
     };
@@ -371,10 +375,10 @@
   static void gather(const EnumConfig& config, const RouteTable& table, const std::string& prefix,
                      Cases& cases) {
     for (const auto* route : table.candidate_routes(prefix)) {
-      if (route->traffic_class != any)
+      if (route->traffic_class != no_index)
         cases.classes.insert(config.settings.classes[route->traffic_class].name);
-      if (route->tenant != any) cases.tenants.insert(config.tenants[route->tenant].name);
-      if (route->schedule == any) continue;
+      if (route->tenant != no_index) cases.tenants.insert(config.tenants[route->tenant].name);
+      if (route->schedule == no_index) continue;
       for (const auto& span : config.schedules[route->schedule]) {
         cases.times.insert(span.from);
         if (span.to < minutes_a_week) cases.times.insert(span.to);
@@ -391,7 +395,7 @@
     for (std::uint32_t i = 0; i < config.tenants.size(); ++i) {
       if (config.tenants[i].name == name) return i;
     }
-    return name.empty() ? any : other;
+    return name.empty() ? no_index : other;
   }
 
   void all_routes() {
@@ -407,7 +411,7 @@
       bool moves = false;
       if (cases.plain()) {
         const auto& change =
-            effect(table_a_.find({prefix, other, any, 0}), table_b_.find({prefix, other, any, 0}));
+            effect(table_a_.find({prefix, other, no_index, 0}), table_b_.find({prefix, other, no_index, 0}));
         moves = change.first_moves;
         if (!change.text.empty()) group("", change.text, prefix);
       } else if (cases.count() <= most_cases) {
--- a/src/config/site_reader.cpp
+++ b/src/config/site_reader.cpp
@@ -36,7 +36,7 @@
   const pb::Message* message = nullptr;
   const pb::TextFormat::ParseInfoTree* tree = nullptr;
   std::string key;
-  Where where;
+  SourceLocation location;
 
   [[nodiscard]] const pb::FieldDescriptor* field(const char* name) const {
     return message->GetDescriptor()->FindFieldByName(name);
@@ -44,10 +44,10 @@
   [[nodiscard]] bool has(const char* name) const {
     return message->GetReflection()->HasField(*message, field(name));
   }
-  [[nodiscard]] Where place(const char* name, int index = -1) const {
-    if (tree == nullptr) return where;
+  [[nodiscard]] SourceLocation place(const char* name, int index = -1) const {
+    if (tree == nullptr) return location;
     const auto at = tree->GetLocation(field(name), index);
-    if (at.line < 0) return where;
+    if (at.line < 0) return location;
     return {file_index, static_cast<std::uint32_t>(at.line) + 1, static_cast<std::uint32_t>(at.column) + 1};
   }
   [[nodiscard]] std::string text(const char* name) const {
@@ -63,7 +63,7 @@
     out.message = index < 0 ? &reflection->GetMessage(*message, which)
                             : &reflection->GetRepeatedMessage(*message, which, index);
     out.tree = tree == nullptr ? nullptr : tree->GetTreeForNested(which, index);
-    out.where = place(name, index);
+    out.location = place(name, index);
     out.key = path(name);
     return out;
   }
@@ -74,15 +74,15 @@
  public:
   struct Entry {
     std::uint32_t index;
-    Where where;
+    SourceLocation location;
   };
   [[nodiscard]] const Entry* find(const std::string& name) const {
     const auto it = entries_.find(name);
     return it == entries_.end() ? nullptr : &it->second;
   }
   /// The entry that has the name already, if any.
-  const Entry* add(const std::string& name, std::uint32_t index, Where where) {
-    const auto [it, fresh] = entries_.try_emplace(name, Entry{index, where});
+  const Entry* add(const std::string& name, std::uint32_t index, SourceLocation location) {
+    const auto [it, fresh] = entries_.try_emplace(name, Entry{index, location});
     return fresh ? nullptr : &it->second;
   }
   [[nodiscard]] std::string list() const {
@@ -109,7 +109,7 @@
 
 class SiteReader {
  public:
-  SiteReader(const std::string& path, Faults& faults, std::vector<Note>* notes)
+  SiteReader(const std::string& path, Faults& faults, std::vector<ResolvedSetting>* notes)
       : faults_(faults), notes_(notes), sources_(load_sources(path, faults)) {
     for (std::uint32_t i = 0; i < sources_.files.size(); ++i) {
       const auto& source = *sources_.files[i];
@@ -119,7 +119,7 @@
       top.file_index = i;
       top.message = &source.message;
       top.tree = source.places.get();
-      top.where = {i, 1, 1};
+      top.location = {i, 1, 1};
       tops_.push_back(std::move(top));
     }
   }
@@ -127,7 +127,7 @@
   EnumConfig read() {
     if (!sources_.whole) return std::move(config_);
     read_converters();
-    if (config_.has_front) read_front();
+    if (config_.has_enum_frontend) read_front();
     each("class", [this](const Node& node) { read_class(node); });
     each("tenant", [this](const Node& node) { read_tenant(node); });
     each("registry", [this](const Node& node) { read_registry(node); });
@@ -146,13 +146,13 @@
  private:
   // ---- Faults and notes --------------------------------------------------------------------------------
 
-  void fault(const Where& where, const std::string& key, const std::string& text,
+  void fault(const SourceLocation& location, const std::string& key, const std::string& text,
              const std::string& expected = "", bool warning = false) {
-    faults_.add({config_.files[where.file], static_cast<int>(where.line), static_cast<int>(where.column), key,
-                 text, expected, warning});
+    faults_.add({config_.files[location.file], static_cast<int>(location.line),
+                 static_cast<int>(location.column), key, text, expected, warning});
   }
-  [[nodiscard]] std::string place_text(const Where& where) const {
-    return where_text(config_, where) + ":" + std::to_string(where.column);
+  [[nodiscard]] std::string place_text(const SourceLocation& location) const {
+    return location_text(config_, location) + ":" + std::to_string(location.column);
   }
   void note(const std::string& key, const std::string& value, const std::string& origin) {
     if (notes_ != nullptr) notes_->push_back({key, value, origin});
@@ -160,7 +160,7 @@
   /// The note of one field: from the file if it stands there.
   void note(const Node& node, const char* field, const std::string& value) {
     if (notes_ == nullptr) return;
-    note(node.path(field), value, node.has(field) ? where_text(config_, node.place(field)) : "default");
+    note(node.path(field), value, node.has(field) ? location_text(config_, node.place(field)) : "default");
   }
 
   // ---- Values ------------------------------------------------------------------------------------------
@@ -231,7 +231,7 @@
   /// Empty, and a fault, when it is missing.
   std::string needed(const Node& node, const char* field, const char* expected) {
     if (!node.has(field) || node.text(field).empty()) {
-      fault(node.has(field) ? node.place(field) : node.where, node.path(field),
+      fault(node.has(field) ? node.place(field) : node.location, node.path(field),
             node.has(field) ? "it is empty" : "it is missing", expected);
       return "";
     }
@@ -260,9 +260,9 @@
       fault(node.place("name"), node.path("name"), "\"" + given + "\" is no name", name_form);
       return false;
     }
-    if (const auto* first = names.add(given, index, node.where)) {
+    if (const auto* first = names.add(given, index, node.location)) {
       fault(node.place("name"), node.path("name"),
-            "\"" + given + "\" stands there twice, first at " + place_text(first->where),
+            "\"" + given + "\" stands there twice, first at " + place_text(first->location),
             "a name of its own");
       return false;
     }
@@ -278,14 +278,14 @@
       const auto list = names.list();
       fault(node.place(field), node.path(field), std::string("no ") + kind + " is named \"" + given + "\"",
             list.empty() ? std::string("a ") + kind + " that is defined" : "one of " + list);
-      return any;
+      return no_index;
     }
     return found->index;
   }
-  bool digits(const Where& where, const std::string& key, const std::string& prefix) {
+  bool digits(const SourceLocation& location, const std::string& key, const std::string& prefix) {
     if (prefix.size() <= most_prefix && prefix.find_first_not_of("0123456789") == std::string::npos)
       return true;
-    fault(where, key, "\"" + prefix + "\" is no prefix of numbers", "at most 32 digits");
+    fault(location, key, "\"" + prefix + "\" is no prefix of numbers", "at most 32 digits");
     return false;
   }
 
@@ -319,7 +319,7 @@
     if (from == nullptr) return;
     const auto node = from->inner("converters", -1);
     if (node.has("tls")) config_.converter_tls = read_tls(node.inner("tls", -1));
-    config_.has_front = std::any_of(tops_.begin(), tops_.end(), [](const Node& top) {
+    config_.has_enum_frontend = std::any_of(tops_.begin(), tops_.end(), [](const Node& top) {
       const auto& message = static_cast<const config::v1::Site&>(*top.message);
       return message.has_listen() || message.has_suffix() || message.class__size() > 0 ||
              message.pool_size() > 0 || message.route_size() > 0;
@@ -344,12 +344,12 @@
       note(at, "suffix", given);
     }
     from = single("console");
-    config_.console = text(from != nullptr ? *from : main, "console", "");
+    config_.console_path = text(from != nullptr ? *from : main, "console", "");
     from = single("time_zone");
     const auto zone = text(from != nullptr ? *from : main, "time_zone", "utc");
     const auto parsed = units::time_zone(zone);
     if (parsed.value) {
-      config_.zone = *parsed.value;
+      config_.time_zone = *parsed.value;
     } else {
       fault(from->place("time_zone"), "time_zone", "\"" + zone + "\" " + parsed.fault, units::zone_form);
     }
@@ -373,44 +373,44 @@
     const auto& message = static_cast<const config::v1::Class&>(*node.message);
     for (int i = 0; i < message.prefix_size(); ++i) {
       const auto& prefix = message.prefix(i);
-      const auto where = node.place("prefix", i);
-      if (!digits(where, node.path("prefix"), prefix)) continue;
-      if (const auto* first = class_prefixes_.add(prefix, index, where)) {
-        fault(where, node.path("prefix"),
-              "\"" + prefix + "\" stands there twice, first at " + place_text(first->where),
+      const auto location = node.place("prefix", i);
+      if (!digits(location, node.path("prefix"), prefix)) continue;
+      if (const auto* first = class_prefixes_.add(prefix, index, location)) {
+        fault(location, node.path("prefix"),
+              "\"" + prefix + "\" stands there twice, first at " + place_text(first->location),
               "each prefix in one class only");
         continue;
       }
       config_.class_prefixes.push_back({prefix, index});
-      note(node.path("prefix"), prefix, where_text(config_, where));
+      note(node.path("prefix"), prefix, location_text(config_, location));
     }
     config_.settings.classes.push_back(std::move(out));
   }
 
   void read_tenant(Node node) {
     Tenant out;
-    out.where = node.where;
+    out.location = node.location;
     const auto index = static_cast<std::uint32_t>(config_.tenants.size());
     if (!name(node, tenants_, index, out.name)) return;
     const auto& message = static_cast<const config::v1::Tenant&>(*node.message);
     constexpr const char* form = "an IPv4 network such as \"192.0.2.0/24\"";
-    if (message.network_size() == 0) fault(node.where, node.path("network"), "it is missing", form);
+    if (message.network_size() == 0) fault(node.location, node.path("network"), "it is missing", form);
     for (int i = 0; i < message.network_size(); ++i) {
-      const auto where = node.place("network", i);
+      const auto location = node.place("network", i);
       const auto network = parse_network(message.network(i));
       if (!network) {
-        fault(where, node.path("network"), "\"" + message.network(i) + "\" is no network", form);
+        fault(location, node.path("network"), "\"" + message.network(i) + "\" is no network", form);
         continue;
       }
-      const auto key = std::to_string(network->host) + "/" + std::to_string(network->length);
-      if (const auto* first = networks_.add(key, index, where)) {
-        fault(where, node.path("network"),
-              "\"" + message.network(i) + "\" stands there twice, first at " + place_text(first->where),
+      const auto key = std::to_string(network->host) + "/" + std::to_string(network->prefix_length);
+      if (const auto* first = networks_.add(key, index, location)) {
+        fault(location, node.path("network"),
+              "\"" + message.network(i) + "\" stands there twice, first at " + place_text(first->location),
               "each network with one tenant only");
         continue;
       }
       out.networks.push_back(*network);
-      note(node.path("network"), message.network(i), where_text(config_, where));
+      note(node.path("network"), message.network(i), location_text(config_, location));
     }
     if (node.has("class")) out.traffic_class = reference(node, "class", "class", classes_);
     note(node, "class", node.has("class") ? node.text("class") : "the number's");
@@ -427,16 +427,16 @@
     const auto host = Address::parse(given.substr(0, slash) + ":0");
     if (!host) return std::nullopt;
     Tenant::Network out{host->host, std::stoi(length)};
-    const auto mask = out.length == 0 ? 0U : ~0U << (32 - out.length);
+    const auto mask = out.prefix_length == 0 ? 0U : ~0U << (32 - out.prefix_length);
     if ((out.host & ~mask) != 0) return std::nullopt;
     return out;
   }
 
   void read_registry(Node node) {
     EurekaConfig out;
-    out.where = node.where;
+    out.location = node.location;
     if (!name(node, registries_, static_cast<std::uint32_t>(config_.registries.size()), out.name)) return;
-    if (const auto at = address(node, "address")) out.registry = *at;
+    if (const auto at = address(node, "address")) out.address = *at;
     out.path = text(node, "path", "/eureka");
     out.fetch_every_ms = duration(node, "fetch_every", 50, 10 * minute, 5 * second);
     if (node.has("register")) {
@@ -451,16 +451,16 @@
 
   void read_pool(Node node) {
     Pool out;
-    out.where = node.where;
+    out.location = node.location;
     const auto index = static_cast<std::uint32_t>(config_.pools.size());
     if (!name(node, pools_, index, out.name)) return;
-    out.most_requests = count(node, "most_requests", 1, 1000000, 0, "no limit");
+    out.max_open_requests = count(node, "most_requests", 1, 1000000, 0, "no limit");
     const auto& message = static_cast<const config::v1::Pool&>(*node.message);
     out.zones.assign(message.zone().begin(), message.zone().end());
     if (!out.zones.empty()) {
       std::string list;
       for (const auto& zone : out.zones) list += (list.empty() ? "" : ", ") + zone;
-      note(node.path("zone"), list, where_text(config_, node.place("zone", 0)));
+      note(node.path("zone"), list, location_text(config_, node.place("zone", 0)));
     }
     if (message.has_tls()) out.tls = read_tls(node.inner("tls", -1));
     double weights = 0;
@@ -478,24 +478,24 @@
     }
     if (message.has_from_registry()) {
       const auto from = node.inner("from_registry", -1);
-      FromRegistry list;
+      RegistrySource list;
       if (!needed(from, "registry", "the name of a registry").empty()) {
         list.registry = reference(from, "registry", "registry", registries_);
-        if (list.registry != any) used_registries_.insert(list.registry);
+        if (list.registry != no_index) used_registries_.insert(list.registry);
         note(from, "registry", from.text("registry"));
       }
       list.application = needed(from, "application", "the application's name");
       note(from, "application", list.application);
-      const auto wanted = count(from, "number", 0, 65535, any, "any");
-      if (wanted != any) list.number = static_cast<std::int32_t>(wanted);
+      const auto wanted = count(from, "number", 0, 65535, no_index, "any");
+      if (wanted != no_index) list.number = static_cast<std::int32_t>(wanted);
       list.weight = number(from, "weight", 1000, 1);
       weights += list.weight;
       out.from_registry = std::move(list);
     }
     if (message.member_size() == 0 && !message.has_from_registry()) {
-      fault(node.where, node.path("member"), "the pool has no members", "a member, or from_registry");
+      fault(node.location, node.path("member"), "the pool has no members", "a member, or from_registry");
     } else if (weights <= 0 && !faults_.any_error()) {
-      fault(node.where, node.path("member"), "all weights are 0", "a member with a weight above 0");
+      fault(node.location, node.path("member"), "all weights are 0", "a member with a weight above 0");
     }
     config_.pools.push_back(std::move(out));
   }
@@ -522,7 +522,7 @@
     out.certificate = beside(node, text(node, "certificate", ""));
     out.key = beside(node, text(node, "key", ""));
     if (out.certificate.empty() != out.key.empty()) {
-      fault(node.where, node.path(out.key.empty() ? "key" : "certificate"), "it is missing",
+      fault(node.location, node.path(out.key.empty() ? "key" : "certificate"), "it is missing",
             "a certificate with its key");
     }
     out.crl = beside(node, text(node, "crl", ""));
@@ -546,7 +546,8 @@
       fault(node.place("verification"), node.path("verification"),
             "certificates are not verified: anybody may answer in the server's place", "", true);
     } else if (out.trust.empty()) {
-      fault(node.where, node.path("trust"), "it is missing", "a file with the authorities that are trusted");
+      fault(node.location, node.path("trust"), "it is missing",
+            "a file with the authorities that are trusted");
     }
     out.handshake_ms = duration(node, "handshake", 50, 30 * second, 2 * second);
     if (node.has("most_age")) out.most_age_ms = duration(node, "most_age", second, 24 * 60 * minute, 0);
@@ -599,7 +600,7 @@
 
   struct PolicyDraft {
     Node node;
-    std::uint32_t base = any;
+    std::uint32_t base = no_index;
     enum { fresh, under_way, done } state = fresh;
     Policy policy;
     std::string origins[policy_field_count];
@@ -617,7 +618,7 @@
       const auto index = is_default ? 0 : static_cast<std::uint32_t>(drafts_.size());
       PolicyDraft draft;
       if (!name(node, policies_, index, draft.policy.name)) return;
-      draft.policy.where = node.where;
+      draft.policy.location = node.location;
       draft.node = std::move(node);
       if (is_default) {
         defined = true;
@@ -626,10 +627,10 @@
         drafts_.push_back(std::move(draft));
       }
     });
-    if (!defined) policies_.add("default", 0, Where{});
+    if (!defined) policies_.add("default", 0, SourceLocation{});
     for (auto& draft : drafts_) {
       if (draft.node.has("base")) draft.base = reference(draft.node, "base", "policy", policies_);
-      if (draft.base != any) used_policies_.insert(draft.base);
+      if (draft.base != no_index) used_policies_.insert(draft.base);
     }
     for (std::uint32_t i = 0; i < drafts_.size(); ++i) {
       std::vector<std::uint32_t> chain;
@@ -657,12 +658,12 @@
     }
     draft.state = PolicyDraft::under_way;
     chain.push_back(index);
-    if (draft.base != any) {
+    if (draft.base != no_index) {
       resolve(draft.base, chain);
       const auto& base = drafts_[draft.base];
       auto kept = base.policy;
       kept.name = draft.policy.name;
-      kept.where = draft.policy.where;
+      kept.location = draft.policy.location;
       draft.policy = std::move(kept);
       for (std::size_t i = 0; i < policy_field_count; ++i) {
         draft.origins[i] =
@@ -679,34 +680,36 @@
     const auto& node = draft.node;
     auto* told = std::exchange(notes_, nullptr);  // told of below, together with what is taken over
     out.deadline_ms = duration(node, "deadline", least_deadline_ms, most_deadline_ms, out.deadline_ms);
-    out.attempts = count(node, "attempts", 1, max_attempts_per_request, out.attempts);
+    out.max_attempts = count(node, "attempts", 1, max_attempts_per_request, out.max_attempts);
     out.retry_wait_ms = duration(node, "retry_wait", 0, 60 * second, out.retry_wait_ms);
-    out.most_open = count(node, "most_open", 1, 10000, out.most_open);
-    out.rate =
-        measure(node, "rate", units::rate, units::rate_text, units::rate_form, 1.0 / 3600, 1e6, out.rate);
+    out.max_open_requests = count(node, "most_open", 1, 10000, out.max_open_requests);
+    out.rate_per_second = measure(node, "rate", units::rate, units::rate_text, units::rate_form, 1.0 / 3600,
+                                  1e6, out.rate_per_second);
     const bool new_rate = node.has("rate") && !node.has("burst");
     out.burst = count(node, "burst", 1, 1000000, new_rate ? 0 : static_cast<std::uint32_t>(out.burst));
-    if (out.burst == 0 && out.rate > 0) out.burst = std::max(1.0, std::floor(out.rate * usual_burst_s));
+    if (out.burst == 0 && out.rate_per_second > 0)
+      out.burst = std::max(1.0, std::floor(out.rate_per_second * usual_burst_s));
     notes_ = told;
     for (std::size_t i = 0; i < policy_field_count; ++i) {
-      if (node.has(policy_fields[i])) draft.origins[i] = where_text(config_, node.place(policy_fields[i]));
+      if (node.has(policy_fields[i])) draft.origins[i] = location_text(config_, node.place(policy_fields[i]));
     }
   }
 
   void check_policy(const PolicyDraft& draft) {
     const auto& policy = draft.policy;
     const auto& node = draft.node;
-    const char* where = "name";
+    const char* location = "name";
     for (const char* each : {"attempts", "retry_wait", "deadline"}) {
-      if (node.has(each)) where = each;
+      if (node.has(each)) location = each;
     }
-    if (policy.attempts > config_.settings.attempt_limit && policy.where.line > 0 && node.has("attempts")) {
+    if (policy.max_attempts > config_.settings.attempt_limit && policy.location.line > 0 &&
+        node.has("attempts")) {
       fault(node.place("attempts"), node.path("attempts"),
-            std::to_string(policy.attempts) + " is above decisions.attempts, which is " +
+            std::to_string(policy.max_attempts) + " is above decisions.attempts, which is " +
                 std::to_string(config_.settings.attempt_limit),
             "that many at most");
     }
-    if (node.has("burst") && policy.rate == 0) {
+    if (node.has("burst") && policy.rate_per_second == 0) {
       fault(node.place("burst"), node.path("burst"), "there is no rate that it belongs to",
             "a rate beside it");
     }
@@ -716,11 +719,11 @@
         deadline = deadline == 0 ? to_ms(each.give_up_after) : std::min(deadline, to_ms(each.give_up_after));
       }
     }
-    const double waits = policy.retry_wait_ms * (policy.attempts - 1);
-    if (policy.where.line > 0 && deadline > 0 && policy.attempts > 1 &&
+    const double waits = policy.retry_wait_ms * (policy.max_attempts - 1);
+    if (policy.location.line > 0 && deadline > 0 && policy.max_attempts > 1 &&
         waits + answer_margin_ms >= deadline) {
-      fault(node.place(where), node.path("deadline"),
-            units::duration_text(deadline) + " is over before " + std::to_string(policy.attempts) +
+      fault(node.place(location), node.path("deadline"),
+            units::duration_text(deadline) + " is over before " + std::to_string(policy.max_attempts) +
                 " attempts with waits of " + units::duration_text(policy.retry_wait_ms),
             "a longer deadline, fewer attempts or a shorter wait");
     }
@@ -731,11 +734,11 @@
     const auto& policy = draft.policy;
     const std::string values[policy_field_count] = {
         policy.deadline_ms == 0 ? "the class's give_up" : units::duration_text(policy.deadline_ms),
-        std::to_string(policy.attempts),
+        std::to_string(policy.max_attempts),
         units::duration_text(policy.retry_wait_ms),
-        policy.most_open == 0 ? "no limit" : std::to_string(policy.most_open),
-        policy.rate == 0 ? "no limit" : units::rate_text(policy.rate),
-        policy.rate == 0 ? "none" : units::number_text(policy.burst)};
+        policy.max_open_requests == 0 ? "no limit" : std::to_string(policy.max_open_requests),
+        policy.rate_per_second == 0 ? "no limit" : units::rate_text(policy.rate_per_second),
+        policy.rate_per_second == 0 ? "none" : units::number_text(policy.burst)};
     for (std::size_t i = 0; i < policy_field_count; ++i) {
       note(draft.node.path(policy_fields[i]), values[i],
            draft.origins[i].empty() ? "default" : draft.origins[i]);
@@ -747,26 +750,26 @@
   void read_route(Node node) {
     const auto& message = static_cast<const config::v1::Route&>(*node.message);
     Route out;
-    out.where = node.where;
+    out.location = node.location;
     const auto first = message.prefix_size() == 0 ? std::string() : message.prefix(0);
     node.key += "." + (first.empty() ? "all" : first);
     if (message.has_class_()) out.traffic_class = reference(node, "class", "class", classes_);
     if (message.has_tenant()) {
       out.tenant = reference(node, "tenant", "tenant", tenants_);
-      if (out.tenant != any) used_tenants_.insert(out.tenant);
+      if (out.tenant != no_index) used_tenants_.insert(out.tenant);
     }
     if (message.has_when()) out.schedule = schedule(node);
     if (message.has_policy()) {
       out.policy = reference(node, "policy", "policy", policies_);
-      if (out.policy == any) out.policy = 0;
+      if (out.policy == no_index) out.policy = 0;
     }
     used_policies_.insert(out.policy);
-    out.targets = targets(node, message);
+    out.target_list = targets(node, message);
     if (message.prefix_size() == 0) return add_route(node, out);
     for (int i = 0; i < message.prefix_size(); ++i) {
       if (!digits(node.place("prefix", i), node.path("prefix"), message.prefix(i))) continue;
       out.prefix = message.prefix(i);
-      out.where = message.prefix_size() > 1 ? node.place("prefix", i) : node.where;
+      out.location = message.prefix_size() > 1 ? node.place("prefix", i) : node.location;
       add_route(node, out);
     }
   }
@@ -775,9 +778,9 @@
       const auto conditions = conditions_text(config_, route);
       note("route." + (route.prefix.empty() ? "all" : route.prefix) +
                (conditions.empty() ? "" : " (" + conditions + ")"),
-           targets_text(config_, config_.target_lists[route.targets]) + "; policy " +
+           targets_text(config_, config_.target_lists[route.target_list]) + "; policy " +
                config_.policies[route.policy].name,
-           where_text(config_, node.where));
+           location_text(config_, node.location));
     }
     config_.routes.push_back(route);
   }
@@ -787,7 +790,7 @@
     const auto parsed = units::week_spans(given);
     if (!parsed.value) {
       fault(node.place("when"), node.path("when"), "\"" + given + "\" " + parsed.fault, units::times_form);
-      return any;
+      return no_index;
     }
     const auto key = units::week_text(*parsed.value);
     const auto [it, fresh] =
@@ -801,7 +804,7 @@
     std::vector<Target> list;
     double sum = 0;
     bool shares = false, sound = message.to_size() > 0;
-    if (message.to_size() == 0) fault(node.where, node.path("to"), "it is missing", "a pool to go to");
+    if (message.to_size() == 0) fault(node.location, node.path("to"), "it is missing", "a pool to go to");
     for (int i = 0; i < message.to_size(); ++i) {
       const auto& given = message.to(i);
       Target target;
@@ -829,7 +832,7 @@
           std::any_of(list.begin(), list.end(), [&](const auto& each) { return each.pool == target.pool; });
       if (twice) {
         const auto inner = node.inner("to", i);
-        fault(inner.where, inner.path("pool"), "pool \"" + given.pool() + "\" stands there twice",
+        fault(inner.location, inner.path("pool"), "pool \"" + given.pool() + "\" stands there twice",
               "each pool once in a route");
         sound = false;
         continue;
@@ -852,10 +855,10 @@
   // ---- The whole ---------------------------------------------------------------------------------------
 
   void require_some() {
-    if (!config_.has_front) return;
+    if (!config_.has_enum_frontend) return;
     const auto& main = tops_.back();
     const auto missing = [&](bool empty, const char* key, const char* expected) {
-      if (empty && !faults_.any_error()) fault(main.where, key, "there is none", expected);
+      if (empty && !faults_.any_error()) fault(main.location, key, "there is none", expected);
     };
     missing(config_.settings.classes.empty(), "class", "at least one class");
     missing(config_.pools.empty(), "pool", "at least one pool");
@@ -881,28 +884,28 @@
     if (faults_.any_error()) return;  // an index may lead nowhere
     struct Seen {
       std::vector<units::WeekSpan> spans;
-      Where where;
+      SourceLocation location;
     };
     const std::vector<units::WeekSpan> always{{0, units::minutes_a_week}};
     std::unordered_map<std::string, std::map<std::pair<std::uint32_t, std::uint32_t>, Seen>> seen;
     for (const auto& route : config_.routes) {
-      const auto& own = route.schedule == any ? always : config_.schedules[route.schedule];
+      const auto& own = route.schedule == no_index ? always : config_.schedules[route.schedule];
       auto& same = seen[route.prefix];
       std::vector<units::WeekSpan> taken;
-      std::optional<Where> by;
+      std::optional<SourceLocation> by;
       std::vector<std::pair<std::uint32_t, std::uint32_t>> keys{{route.traffic_class, route.tenant}};
-      if (route.traffic_class != any) keys.emplace_back(any, route.tenant);
-      if (route.tenant != any) keys.emplace_back(route.traffic_class, any);
-      if (route.traffic_class != any && route.tenant != any) keys.emplace_back(any, any);
+      if (route.traffic_class != no_index) keys.emplace_back(no_index, route.tenant);
+      if (route.tenant != no_index) keys.emplace_back(route.traffic_class, no_index);
+      if (route.traffic_class != no_index && route.tenant != no_index) keys.emplace_back(no_index, no_index);
       for (const auto& key : keys) {
         const auto it = same.find(key);
         if (it == same.end()) continue;
         taken.insert(taken.end(), it->second.spans.begin(), it->second.spans.end());
-        by = it->second.where;
+        by = it->second.location;
       }
       const auto key = "route." + (route.prefix.empty() ? "all" : route.prefix);
       if (by && within(own, units::joined(taken))) {
-        fault(route.where, key,
+        fault(route.location, key,
               "no look-up reaches this route, since the one at " + place_text(*by) + " takes them all",
               "a route of its own prefix, class, tenant or time");
       }
@@ -910,49 +913,52 @@
       auto& mine = same[{route.traffic_class, route.tenant}];
       mine.spans.insert(mine.spans.end(), own.begin(), own.end());
       mine.spans = units::joined(std::move(mine.spans));
-      mine.where = route.where;
+      mine.location = route.location;
     }
   }
   void check_class(const Route& route, const std::string& key) {
-    if (route.traffic_class == any) return;
+    if (route.traffic_class == no_index) return;
     const auto& name = config_.settings.classes[route.traffic_class].name;
     bool reached = false;
-    if (route.tenant != any && config_.tenants[route.tenant].traffic_class != any) {
+    if (route.tenant != no_index && config_.tenants[route.tenant].traffic_class != no_index) {
       reached = config_.tenants[route.tenant].traffic_class == route.traffic_class;
     } else {
       reached = may_be_of(route.prefix, route.traffic_class);
-      for (std::size_t i = 0; route.tenant == any && !reached && i < config_.tenants.size(); ++i) {
+      for (std::size_t i = 0; route.tenant == no_index && !reached && i < config_.tenants.size(); ++i) {
         reached = config_.tenants[i].traffic_class == route.traffic_class;
       }
     }
     if (reached) return;
-    fault(route.where, key + ".class", "no look-up of " + numbers_text(route.prefix) + " is of class " + name,
+    fault(route.location, key + ".class",
+          "no look-up of " + numbers_text(route.prefix) + " is of class " + name,
           "a class that these numbers or the tenant have");
   }
 
   void find_unused() {
     if (faults_.any_error()) return;
-    const auto warn = [this](const Where& where, const std::string& key, const char* what) {
-      fault(where, key, what, "", true);
+    const auto warn = [this](const SourceLocation& location, const std::string& key, const char* what) {
+      fault(location, key, what, "", true);
     };
     for (std::uint32_t i = 0; i < config_.pools.size(); ++i) {
       const auto& each = config_.pools[i];
-      if (!used_pools_.contains(i)) warn(each.where, "pool." + each.name, "no route uses this pool");
+      if (!used_pools_.contains(i)) warn(each.location, "pool." + each.name, "no route uses this pool");
     }
     for (std::uint32_t i = 1; i < config_.policies.size(); ++i) {
       const auto& each = config_.policies[i];
-      if (!used_policies_.contains(i)) warn(each.where, "policy." + each.name, "no route uses this policy");
+      if (!used_policies_.contains(i))
+        warn(each.location, "policy." + each.name, "no route uses this policy");
     }
     for (std::uint32_t i = 0; i < config_.tenants.size(); ++i) {
       const auto& each = config_.tenants[i];
-      const bool used = used_tenants_.contains(i) || each.traffic_class != any;
+      const bool used = used_tenants_.contains(i) || each.traffic_class != no_index;
       if (!used)
-        warn(each.where, "tenant." + each.name, "no route uses this tenant, and it has no class of its own");
+        warn(each.location, "tenant." + each.name,
+             "no route uses this tenant, and it has no class of its own");
     }
     for (std::uint32_t i = 0; i < config_.registries.size(); ++i) {
       const auto& each = config_.registries[i];
       const bool used = used_registries_.contains(i) || !each.own_application.empty();
-      if (!used) warn(each.where, "registry." + each.name, "no pool uses this registry");
+      if (!used) warn(each.location, "registry." + each.name, "no pool uses this registry");
     }
   }
 
@@ -962,16 +968,16 @@
         config_.longest_deadline_ms = std::max(config_.longest_deadline_ms, config_.deadline_ms(policy, i));
       }
     }
-    if (faults_.any_error() || !config_.has_front) return;
+    if (faults_.any_error() || !config_.has_enum_frontend) return;
     try {
       (void)CallController(config_.settings, 0);
     } catch (const std::exception& error) {
-      fault(tops_.back().where, "decisions", error.what());
+      fault(tops_.back().location, "decisions", error.what());
     }
   }
 
   Faults& faults_;
-  std::vector<Note>* notes_;
+  std::vector<ResolvedSetting>* notes_;
   Sources sources_;
   std::vector<Node> tops_;  ///< the file asked for comes last
   EnumConfig config_;
@@ -988,7 +994,7 @@
   return policy.deadline_ms > 0 ? policy.deadline_ms : to_ms(settings.classes[traffic_class].give_up_after);
 }
 
-EnumConfig read_site(const std::string& path, Faults& faults, std::vector<Note>* notes) {
+EnumConfig read_site(const std::string& path, Faults& faults, std::vector<ResolvedSetting>* notes) {
   auto config = SiteReader(path, faults, notes).read();
   faults.sort();
   return config;
@@ -1001,9 +1007,9 @@
   return config;
 }
 
-std::string where_text(const EnumConfig& config, const Where& where) {
-  if (where.line == 0) return "default";
-  return config.files[where.file] + ":" + std::to_string(where.line);
+std::string location_text(const EnumConfig& config, const SourceLocation& location) {
+  if (location.line == 0) return "default";
+  return config.files[location.file] + ":" + std::to_string(location.line);
 }
 
 std::string targets_text(const EnumConfig& config, const std::vector<Target>& targets) {
@@ -1019,9 +1025,9 @@
 std::string conditions_text(const EnumConfig& config, const Route& route) {
   std::string out;
   const auto add = [&out](const std::string& words) { out += (out.empty() ? "" : ", ") + words; };
-  if (route.traffic_class != any) add("class " + config.settings.classes[route.traffic_class].name);
-  if (route.tenant != any) add("tenant " + config.tenants[route.tenant].name);
-  if (route.schedule != any) add(units::week_text(config.schedules[route.schedule]));
+  if (route.traffic_class != no_index) add("class " + config.settings.classes[route.traffic_class].name);
+  if (route.tenant != no_index) add("tenant " + config.tenants[route.tenant].name);
+  if (route.schedule != no_index) add(units::week_text(config.schedules[route.schedule]));
   return out;
 }
 
--- a/src/config/site_reader.hpp
+++ b/src/config/site_reader.hpp
@@ -1,5 +1,5 @@
-// Turns the operator's files into the ENUM front's settings: every value read once, checked and given its
-// default. What a file means is said here alone.
+// Reads the operator's files into an EnumConfig: checks every value and fills in the defaults. Only this
+// module interprets the files' fields.
 #pragma once
 
 #include <string>
@@ -10,30 +10,30 @@
 
 namespace heathturn {
 
-/// A setting as resolved: its key, its value in the language's own form, and where the value came from.
-struct Note {
+/// A resolved setting: its key, its value as the file format writes it, and where the value comes from.
+struct ResolvedSetting {
   std::string key;
   std::string value;
-  std::string origin;  ///< "FILE:LINE", "default", or of whom it was taken over
+  std::string origin;  ///< "FILE:LINE", "default", or the policy that it is inherited from
 };
 
-/// Reads the file and all that it includes. Faults and warnings go to `faults`; with an error among them the
-/// result is of no use but for finding more. `notes`, where given, is told of each setting in order.
+/// Reads the file and everything it includes. Faults and warnings are added to `faults`; after an error the
+/// result must not be put into service. Each resolved setting is appended to `resolved`, if given, in order.
 [[nodiscard]] EnumConfig read_site(const std::string& path, Faults& faults,
-                                   std::vector<Note>* notes = nullptr);
+                                   std::vector<ResolvedSetting>* resolved = nullptr);
 
-/// The same for a program that goes by it. Throws ConfigError with every fault.
+/// Reads the file for use in service. Throws ConfigError with every fault.
 [[nodiscard]] EnumConfig load_site(const std::string& path);
 
-/// "FILE:LINE" for a place; "default" for none.
-[[nodiscard]] std::string where_text(const EnumConfig& config, const Where& where);
+/// "FILE:LINE"; "default" for a built-in value.
+[[nodiscard]] std::string location_text(const EnumConfig& config, const SourceLocation& location);
 
-/// Text of a route's targets, as in "70% to pool north, 30% to pool south, then pool west".
+/// Describes a route's targets, as in "70% to pool north, 30% to pool south, then pool west".
 [[nodiscard]] std::string targets_text(const EnumConfig& config, const std::vector<Target>& targets);
-/// What a route asks of a look-up beside its prefix, as in "class abroad, tenant tui, Mon 08:00-18:00"; empty
-/// when nothing.
+/// Describes what a route requires of a look-up besides the prefix, as in "class abroad, tenant tui, Mon
+/// 08:00-18:00"; empty when nothing.
 [[nodiscard]] std::string conditions_text(const EnumConfig& config, const Route& route);
-/// "numbers 649", "all numbers".
+/// Describes the numbers with this prefix: "numbers 649", or "all numbers" for an empty one.
 [[nodiscard]] std::string numbers_text(const std::string& prefix);
 
 }  // namespace heathturn
--- a/src/config_commands.cpp
+++ b/src/config_commands.cpp
@@ -27,16 +27,16 @@
 /// The files that TLS needs, as a start of the program would find them.
 void check_tls(const EnumConfig& config, Faults& faults) {
   const auto check = [&](const std::string& key, const std::optional<tls::TlsConfig>& set,
-                         const Where& where) {
+                         const SourceLocation& location) {
     if (!set) return;
     try {
       const tls::Context context(*set, Clock().now_ms());
     } catch (const std::exception& error) {
-      faults.add({config.files[where.file], static_cast<int>(where.line), static_cast<int>(where.column), key,
-                  error.what(), "", false});
+      faults.add({config.files[location.file], static_cast<int>(location.line),
+                  static_cast<int>(location.column), key, error.what(), "", false});
     }
   };
-  for (const auto& pool : config.pools) check("pool." + pool.name + ".tls", pool.tls, pool.where);
+  for (const auto& pool : config.pools) check("pool." + pool.name + ".tls", pool.tls, pool.location);
   check("converters.tls", config.converter_tls, {static_cast<std::uint32_t>(config.files.size() - 1), 1, 1});
 }
 
@@ -56,8 +56,8 @@
   }
   if (platform.empty()) return status;
   try {
-    const auto config = parse_config(read_file(platform));
-    std::printf("%s: in order, %zu converters known\n", platform.c_str(), config.known.size());
+    const auto config = parse_platform_config(read_file(platform));
+    std::printf("%s: in order, %zu converters known\n", platform.c_str(), config.known_converters.size());
   } catch (const std::exception& error) {
     std::printf("%s: %s\n", platform.c_str(), error.what());
     status = has_faults;
@@ -92,7 +92,7 @@
 }
 
 /// False, with the faults told, when the file is of no use.
-bool load(const std::string& file, EnumConfig& config, std::vector<Note>* notes = nullptr) {
+bool load(const std::string& file, EnumConfig& config, std::vector<ResolvedSetting>* notes = nullptr) {
   Faults faults;
   config = read_site(file, faults, notes);
   if (!faults.any_error()) return true;
@@ -118,7 +118,7 @@
 
 int show(const std::string& file, const Question& question, const std::string& at) {
   EnumConfig config;
-  std::vector<Note> notes;
+  std::vector<ResolvedSetting> notes;
   if (!load(file, config, question.number.empty() ? &notes : nullptr)) return not_done;
   auto asked = question;
   if (!at.empty()) {
@@ -136,7 +136,7 @@
 }
 
 int convert(const std::string& file, const std::string& out) {
-  const auto text = convert_old_site(file, read_file(file));
+  const auto text = convert_json_site(file, read_file(file));
   if (out.empty()) {
     std::fwrite(text.data(), 1, text.size(), stdout);
   } else {
--- a/src/enum/enum_frontend.cpp
+++ b/src/enum/enum_frontend.cpp
@@ -125,7 +125,7 @@
   constexpr double minute_ms = 60000;
   const double now_ms = clock_.now_ms();
   if (now_ms >= minute_expires_ms_) {
-    minute_of_week_ = units::minute_of_week(now_ms, config_->zone);
+    minute_of_week_ = units::minute_of_week(now_ms, config_->time_zone);
     minute_expires_ms_ = (std::floor(now_ms / minute_ms) + 1) * minute_ms;
   }
   return minute_of_week_;
@@ -161,7 +161,7 @@
   request.destination = choice->candidates.front();
   request.routed = true;
   request.alternates.assign(choice->candidates.begin() + 1, choice->candidates.end());
-  request.attempt_limit = policy.attempts;
+  request.attempt_limit = policy.max_attempts;
   request.retry_wait_ms = policy.retry_wait_ms;
   request.wire_id = dns::name_to_text(query.question->name);
   request.key = *number;
--- a/src/enum/enum_service.cpp
+++ b/src/enum/enum_service.cpp
@@ -29,7 +29,8 @@
     try {
       out.back() = std::make_shared<tls::Context>(*pool.tls, now_ms);
     } catch (const std::exception& error) {
-      throw InputError(where_text(config, pool.where) + ": pool." + pool.name + ".tls: " + error.what());
+      throw InputError(location_text(config, pool.location) + ": pool." + pool.name +
+                       ".tls: " + error.what());
     }
     const auto found = std::find(previous_names.begin(), previous_names.end(), pool.name);
     const auto previous_context = found == previous_names.end()
@@ -88,7 +89,7 @@
     servers.push_back({converter, pool});
   };
   for (std::uint32_t i = 0; i < pools.size(); ++i) {
-    limits.push_back(pools[i].most_requests);
+    limits.push_back(pools[i].max_open_requests);
     for (const auto& member : pools[i].members) add(i, member.converter, member.weight, member.zone);
   }
   for (std::uint32_t i = 0; i < pools.size(); ++i) {
--- a/src/eureka/client.cpp
+++ b/src/eureka/client.cpp
@@ -59,12 +59,12 @@
 void EurekaClient::request(evhttp_cmd_type method, const std::string& path, const std::string& body,
                            Reply reply) {
   free_done();
-  const auto host = host_of(config_.registry);
+  const auto host = host_of(config_.address);
   auto& call = calls_.emplace_back();
   call.owner = this;
   call.reply = std::move(reply);
   call.connection =
-      evhttp_connection_base_bufferevent_new(base_, nullptr, nullptr, host.c_str(), config_.registry.port);
+      evhttp_connection_base_bufferevent_new(base_, nullptr, nullptr, host.c_str(), config_.address.port);
   evhttp_connection_set_timeout_tv(call.connection, &reply_timeout);
   evhttp_connection_set_max_body_size(call.connection, most_reply);
   evhttp_request* http = evhttp_request_new(
@@ -84,7 +84,7 @@
       },
       &call);
   evkeyvalq* headers = evhttp_request_get_output_headers(http);
-  evhttp_add_header(headers, "Host", config_.registry.text().c_str());
+  evhttp_add_header(headers, "Host", config_.address.text().c_str());
   evhttp_add_header(headers, "Accept", "application/json");
   evhttp_add_header(headers, "Connection", "close");
   if (!body.empty()) {
--- a/src/eureka/instances.cpp
+++ b/src/eureka/instances.cpp
@@ -6,7 +6,7 @@
 #include <algorithm>
 #include <charconv>
 
-#include "config/json.hpp"
+#include "config/json_object.hpp"
 
 namespace heathturn {
 
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -40,12 +40,12 @@
     throw InputError("no configuration: give --config or --site, or set PROXY_CONFIG");
   }
   std::signal(SIGHUP, SIG_IGN);  // until the loop takes it: a file read just now needs no second reading
-  std::optional<Config> config;
-  if (!words.config.empty()) config = parse_config(read_file(words.config));
+  std::optional<PlatformConfig> config;
+  if (!words.config.empty()) config = parse_platform_config(read_file(words.config));
   std::optional<EnumConfig> site;
   if (!words.site.empty()) site = load_site(words.site);
   auto console_path = words.console;
-  if (console_path.empty() && site) console_path = site->console;
+  if (console_path.empty() && site) console_path = site->console_path;
   EventLog log(config ? config->name : "heathturn", words.log_format, words.log_level);
   int status = 0;
   bool working = false;
@@ -53,7 +53,7 @@
     Program program(log);
     if (config)
       program.add(std::make_unique<PlatformService>(program, std::move(*config), words.config, words.site));
-    if (site && site->has_front)
+    if (site && site->has_enum_frontend)
       program.add(std::make_unique<EnumService>(program, std::move(*site), words.site, fresh_seed()));
     std::optional<Console> console;
     if (!console_path.empty()) console.emplace(program, console_path, version);
--- a/src/platform/caller_frontend.cpp
+++ b/src/platform/caller_frontend.cpp
@@ -44,13 +44,13 @@
 }
 
 CallerFrontend::CallerFrontend(Clock& clock, TimerQueue& timers, Connections& net, Router& router,
-                               const Config& config)
+                               const PlatformConfig& config)
     : clock_(clock), timers_(timers), net_(net), router_(router), config_(config) {}
 
 void CallerFrontend::listen() { listener_ = net_.listen(config_.listen, *this, "caller", listener_limits()); }
 
 Connections::Bounds CallerFrontend::listener_limits() const {
-  return {.connections = config_.sockets / 2,
+  return {.connections = config_.max_sockets / 2,
           .requests = max_requests_per_connection,
           .first_message_ms = first_message_timeout_ms};
 }
@@ -80,7 +80,7 @@
 }
 
 void CallerFrontend::on_input(Handle connection, evbuffer* in) {
-  net_.each_line(connection, in, most_line, [this, connection](const std::string& line) {
+  net_.each_line(connection, in, max_line_bytes, [this, connection](const std::string& line) {
     on_message(connection, parse_message(line));
   });
 }
@@ -147,7 +147,7 @@
   if (!is_known_number_(request->destination))
     return send_refusal(connection, message.call_id, cause::error, 0);
   raise_release_rank(connection, ConnectionState::ReleaseRank::requested);
-  if (refusing_new_requests_ || requests_.size() - established_count_ >= config_.most_requests ||
+  if (refusing_new_requests_ || requests_.size() - established_count_ >= config_.max_open_requests ||
       !net_.begin_request(connection)) {
     ended_.add(message.call_id, clock_.now_ms());
     return send_refusal(connection, message.call_id, cause::congestion, refused_retry_after_ms);
@@ -164,10 +164,10 @@
   const auto* class_name = message.field("class");
   const auto* extras = message.field("extras");
   if (class_name == nullptr || extras == nullptr || !message.description) return std::nullopt;
-  const auto class_index = config_.classes.find(*class_name);
-  if (class_index == config_.classes.end()) return std::nullopt;
+  const auto class_index = config_.class_indexes.find(*class_name);
+  if (class_index == config_.class_indexes.end()) return std::nullopt;
   if (const auto* tenant = message.field("tenant");
-      tenant != nullptr && !config_.tenants.empty() && !config_.tenants.contains(*tenant)) {
+      tenant != nullptr && !config_.tenant_names.empty() && !config_.tenant_names.contains(*tenant)) {
     return std::nullopt;
   }
   Request request;
@@ -190,8 +190,8 @@
   if (!extra_numbers.well_formed) return std::nullopt;
   for (const auto& [name, value] : extra_numbers.values) {
     if (name == "dest" && value != std::floor(value)) return std::nullopt;
-    if (name == "dest") request.destination = maddershed::exchange_number(static_cast<float>(value));
-    if (name == "via") request.tandem = maddershed::exchange_number(static_cast<float>(value));
+    if (name == "dest") request.destination = maddershed::to_exchange_number(static_cast<float>(value));
+    if (name == "via") request.tandem = maddershed::to_exchange_number(static_cast<float>(value));
     if (name == "width") request.circuits = value;
     if (name == "transit") request.in_transit = value != 0;
     if (name == "again") request.was_cut_off = value != 0;
--- a/src/platform/caller_frontend.hpp
+++ b/src/platform/caller_frontend.hpp
@@ -10,7 +10,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "config/config.hpp"
+#include "config/platform_config.hpp"
 #include "core/router.hpp"
 #include "net/connections.hpp"
 #include "net/framing.hpp"
@@ -33,7 +33,8 @@
 /// release may be sent on any connection.
 class CallerFrontend : public Frontend, public ConnectionUser {
  public:
-  CallerFrontend(Clock& clock, TimerQueue& timers, Connections& net, Router& router, const Config& config);
+  CallerFrontend(Clock& clock, TimerQueue& timers, Connections& net, Router& router,
+                 const PlatformConfig& config);
   /// Throws std::runtime_error when the configured address cannot be bound.
   void listen();
   /// Applies the limits of the current configuration to new connections.
@@ -106,7 +107,7 @@
   TimerQueue& timers_;
   Connections& net_;
   Router& router_;
-  const Config& config_;
+  const PlatformConfig& config_;
   std::function<bool()> is_ready_;
   std::function<void(const std::string&)> on_unknown_release_;
   std::function<bool(maddershed::ExchangeNumber)> is_known_number_;
--- a/src/platform/converter_backend.cpp
+++ b/src/platform/converter_backend.cpp
@@ -58,7 +58,7 @@
 }  // namespace
 
 ConverterBackend::ConverterBackend(Clock& clock, TimerQueue& timers, Connections& net, Router& router,
-                                   const Config& config)
+                                   const PlatformConfig& config)
     : clock_(clock), timers_(timers), net_(net), router_(router), config_(config) {}
 
 // ---- Converter list -------------------------------------------------------------------------------------
@@ -306,7 +306,7 @@
   state.received_any = true;
   state.last_received_ms = clock_.now_ms();
   state.test_sent_at_ms = 0;
-  net_.each_line(connection, in, most_line,
+  net_.each_line(connection, in, max_line_bytes,
                  [&](const std::string& line) { on_message(peer, connection, parse_message(line)); });
 }
 
@@ -477,7 +477,7 @@
 
 LoadReport ConverterBackend::load_report_of(const Message& message) const {
   const auto* load = message.field("load");
-  return load == nullptr ? LoadReport{} : parse_load_report(*load, config_.columns);
+  return load == nullptr ? LoadReport{} : parse_load_report(*load, config_.report_columns);
 }
 
 void ConverterBackend::on_message(Peer& peer, Handle connection, const Message& message) {
--- a/src/platform/converter_backend.hpp
+++ b/src/platform/converter_backend.hpp
@@ -10,7 +10,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "config/config.hpp"
+#include "config/platform_config.hpp"
 #include "core/router.hpp"
 #include "handshakes/admission.hpp"
 #include "net/connections.hpp"
@@ -23,7 +23,8 @@
 /// Sends attempts to the platform's converters and watches the state of their connections.
 class ConverterBackend : public Backend, public ConnectionUser {
  public:
-  ConverterBackend(Clock& clock, TimerQueue& timers, Connections& net, Router& router, const Config& config);
+  ConverterBackend(Clock& clock, TimerQueue& timers, Connections& net, Router& router,
+                   const PlatformConfig& config);
   /// Adds or changes the listed converters. In a snapshot, converters that are not listed are gone.
   void update_list(const std::vector<Converter>& list, bool is_snapshot);
   /// The handler gets the id and cause code of a call that a converter ended and this process has no record
@@ -119,7 +120,7 @@
   TimerQueue& timers_;
   Connections& net_;
   Router& router_;
-  const Config& config_;
+  const PlatformConfig& config_;
   std::function<void(const std::string&, int)> on_unknown_call_end_;
   std::map<ExchangeId, Peer> peers_;
   std::set<maddershed::ExchangeNumber> numbers_;
--- a/src/platform/event_bus_client.cpp
+++ b/src/platform/event_bus_client.cpp
@@ -82,7 +82,7 @@
   for (auto position = header_bytes; position < frame.size(); position += record_bytes) {
     Converter converter;
     converter.entry.exchange.value = static_cast<std::uint32_t>(big_endian(frame, position, 4));
-    converter.name = exchange_text(converter.entry.exchange);
+    converter.name = exchange_id_text(converter.entry.exchange);
     converter.address.host = static_cast<std::uint32_t>(big_endian(frame, position + 4, 4));
     converter.address.port = static_cast<std::uint16_t>(big_endian(frame, position + 8, 2));
     const auto state_code = big_endian(frame, position + 10, 1);
--- a/src/platform/event_bus_client.hpp
+++ b/src/platform/event_bus_client.hpp
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "config/config.hpp"
+#include "config/platform_config.hpp"
 #include "net/connections.hpp"
 
 namespace heathturn {
--- a/src/platform/message.cpp
+++ b/src/platform/message.cpp
@@ -165,7 +165,7 @@
       if (columns[i] == name || columns[i] == settings_name_of(name)) values[i] = static_cast<float>(value);
     }
   }
-  return maddershed::to_report(columns, values);
+  return maddershed::to_load_report(columns, values);
 }
 
 }  // namespace heathturn
--- a/src/platform/platform_service.cpp
+++ b/src/platform/platform_service.cpp
@@ -14,7 +14,8 @@
 
 }  // namespace
 
-PlatformService::PlatformService(Program& program, Config config, std::string path, std::string site_path)
+PlatformService::PlatformService(Program& program, PlatformConfig config, std::string path,
+                                 std::string site_path)
     : program_(program),
       config_(std::move(config)),
       path_(std::move(path)),
@@ -23,7 +24,7 @@
       converter_backend_(program.clock(), program.timers(), program.net(), router_, config_),
       caller_frontend_(program.clock(), program.timers(), program.net(), router_, config_) {
   load_tls();
-  program.net().set_most_unsent(config_.most_unsent);
+  program.net().set_most_unsent(config_.max_unsent_bytes);
   router_.set_backend(converter_backend_);
   router_.set_log(program.log_sink());
   converter_backend_.set_unknown_call_end_handler([this](const std::string& call_id, int cause_code) {
@@ -54,7 +55,7 @@
 
 void PlatformService::start() {
   router_.start();
-  converter_backend_.update_list(config_.known, true);
+  converter_backend_.update_list(config_.known_converters, true);
   start_event_bus_client();
   caller_frontend_.listen();
 }
@@ -62,7 +63,7 @@
 void PlatformService::start_event_bus_client() {
   if (!config_.bus) return;
   event_bus_client_ = std::make_unique<EventBusClient>(
-      program_.clock(), program_.timers(), program_.net(), *config_.bus, config_.known_offset,
+      program_.clock(), program_.timers(), program_.net(), *config_.bus, config_.bus_offset,
       [this](const std::vector<Converter>& list, bool is_snapshot) {
         converter_backend_.update_list(list, is_snapshot);
       });
@@ -81,19 +82,19 @@
 /// Applies the new bus, limits, tenants and time limits at once. The module's settings, by which the open
 /// calls were decided, and the listen address change only with a restart.
 void PlatformService::reload_config() {
-  const auto new_config = parse_config(read_file(path_));
+  const auto new_config = parse_platform_config(read_file(path_));
   load_tls();
   if (new_config.listen != config_.listen)
     program_.log(LogLevel::warn, "takes_restart", {{"front", kind()}, {"key", "listen"}});
   if (new_config.settings_text != config_.settings_text)
     program_.log(LogLevel::warn, "takes_restart", {{"front", kind()}, {"key", "settings"}});
-  config_.sockets = new_config.sockets;
-  config_.memory_mb = new_config.memory_mb;
-  config_.most_requests = new_config.most_requests;
-  config_.most_unsent = new_config.most_unsent;
-  config_.tenants = new_config.tenants;
+  config_.max_sockets = new_config.max_sockets;
+  config_.max_memory_mb = new_config.max_memory_mb;
+  config_.max_open_requests = new_config.max_open_requests;
+  config_.max_unsent_bytes = new_config.max_unsent_bytes;
+  config_.tenant_names = new_config.tenant_names;
   config_.connect_timeout_ms = new_config.connect_timeout_ms;
-  program_.net().set_most_unsent(config_.most_unsent);
+  program_.net().set_most_unsent(config_.max_unsent_bytes);
   caller_frontend_.update_limits();
   if (!new_config.bus) return;
   config_.bus = new_config.bus;
--- a/src/platform/platform_service.hpp
+++ b/src/platform/platform_service.hpp
@@ -15,7 +15,7 @@
  public:
   /// `path`: file of the configuration, for reload(). `site_path`: the operator's file with the TLS settings
   /// towards converters; empty: none. Throws InputError when that file, or one that it names, is unusable.
-  PlatformService(Program& program, Config config, std::string path, std::string site_path = "");
+  PlatformService(Program& program, PlatformConfig config, std::string path, std::string site_path = "");
   [[nodiscard]] const char* kind() const override { return "platform"; }
   void start() override;
   void reload(std::function<void(const std::string&)> done) override;
@@ -30,7 +30,7 @@
   void load_tls();
 
   Program& program_;
-  Config config_;
+  PlatformConfig config_;
   std::string path_, site_path_;
   Router router_;
   ConverterBackend converter_backend_;
--- a/src/routes/policy_limiter.hpp
+++ b/src/routes/policy_limiter.hpp
@@ -18,8 +18,8 @@
   /// burst. The bucket of a policy that had no rate before starts full.
   void set_limits(const Policy& policy) {
     const bool first = rate_per_second_ == 0;
-    max_open_ = policy.most_open;
-    rate_per_second_ = policy.rate;
+    max_open_ = policy.max_open_requests;
+    rate_per_second_ = policy.rate_per_second;
     burst_ = policy.burst;
     tokens_ = first ? burst_ : std::min(tokens_, burst_);
   }
--- a/src/routes/route_table.cpp
+++ b/src/routes/route_table.cpp
@@ -35,8 +35,8 @@
   std::map<int, NetworksOfLength, std::greater<>> by_length;
   for (std::uint32_t i = 0; i < config.tenants.size(); ++i) {
     for (const auto& network : config.tenants[i].networks) {
-      auto& networks = by_length[network.length];
-      networks.mask = network.length == 0 ? 0U : ~0U << (32 - network.length);
+      auto& networks = by_length[network.prefix_length];
+      networks.mask = network.prefix_length == 0 ? 0U : ~0U << (32 - network.prefix_length);
       networks.tenants[network.host] = i;
     }
   }
@@ -48,21 +48,21 @@
     if (const auto it = networks.tenants.find(host & networks.mask); it != networks.tenants.end())
       return it->second;
   }
-  return any;
+  return no_index;
 }
 
 std::uint32_t RouteTable::class_of(std::string_view number, std::uint32_t tenant) const {
-  if (tenant != any && config_.tenants[tenant].traffic_class != any)
+  if (tenant != no_index && config_.tenants[tenant].traffic_class != no_index)
     return config_.tenants[tenant].traffic_class;
   const auto found = class_prefixes_.longest_match(number);
   return found == PrefixTrie::no_value ? 0 : found;
 }
 
 RouteTable::MatchResult RouteTable::match(const Route& route, const LookUp& look_up) const {
-  if (route.traffic_class != any && route.traffic_class != look_up.traffic_class)
+  if (route.traffic_class != no_index && route.traffic_class != look_up.traffic_class)
     return MatchResult::other_class;
-  if (route.tenant != any && route.tenant != look_up.tenant) return MatchResult::other_tenant;
-  if (route.schedule == any) return MatchResult::matched;
+  if (route.tenant != no_index && route.tenant != look_up.tenant) return MatchResult::other_tenant;
+  if (route.schedule == no_index) return MatchResult::matched;
   const auto& spans = config_.schedules[route.schedule];
   const bool in_schedule = std::any_of(spans.begin(), spans.end(), [&](const auto& span) {
     return span.from <= look_up.minute_of_week && look_up.minute_of_week < span.to;
--- a/src/routes/route_table.hpp
+++ b/src/routes/route_table.hpp
@@ -15,7 +15,7 @@
 struct LookUp {
   std::string_view number;           ///< digits of the called number
   std::uint32_t traffic_class = 0;   ///< index of the class
-  std::uint32_t tenant = any;        ///< index of the tenant; `any`: none
+  std::uint32_t tenant = no_index;   ///< index of the tenant; `no_index`: none
   std::uint16_t minute_of_week = 0;  ///< in the time zone of the settings
 };
 
@@ -25,8 +25,8 @@
   /// `config` must outlive the table and must not change.
   explicit RouteTable(const EnumConfig& config);
 
-  /// The tenant with the narrowest network that contains the address (in host order); `any` when there is
-  /// none.
+  /// The tenant with the narrowest network that contains the address (in host order); `no_index` when there
+  /// is none.
   [[nodiscard]] std::uint32_t tenant_of(std::uint32_t host) const;
   /// The tenant's class, else the class of the longest matching prefix, else the first class.
   [[nodiscard]] std::uint32_t class_of(std::string_view number, std::uint32_t tenant) const;
--- a/src/routes/selector.cpp
+++ b/src/routes/selector.cpp
@@ -84,7 +84,7 @@
 /// The first candidate is taken from the most preferred zone that has members in service with a weight above
 /// 0: these members share the turns by their weights.
 void Selector::set_preferred(PoolState& pool) {
-  std::uint32_t best_zone = any;
+  std::uint32_t best_zone = no_index;
   pool.ready = false;
   for (const auto& each : pool.members) {
     pool.ready = pool.ready || each.ready;
@@ -108,7 +108,7 @@
 
 std::uint32_t Selector::pool_of(const std::string& name) const {
   const auto it = member_records_.find(name);
-  return it == member_records_.end() ? any : it->second.pool;
+  return it == member_records_.end() ? no_index : it->second.pool;
 }
 
 /// Takes a turn among the pools of a route; returns the index in `targets`. The share of a pool with no
@@ -175,7 +175,7 @@
   Choice choice;
   choice.route = route;
   choice.policy = route->policy;
-  const auto& targets = config_->target_lists[route->targets];
+  const auto& targets = config_->target_lists[route->target_list];
   const auto first = first_target(*route, targets);
   append_candidates(pools_[targets[first].pool], true, choice.candidates);
   for (std::size_t i = 0; i < targets.size() && choice.candidates.size() < max_candidates; ++i) {
--- a/src/routes/selector.hpp
+++ b/src/routes/selector.hpp
@@ -57,7 +57,7 @@
   void set_members(const std::vector<std::vector<PoolMember>>& pools);
   /// The member's number for the decision module; no_exchange when it is not listed.
   [[nodiscard]] maddershed::ExchangeNumber exchange_number_of(const std::string& name) const;
-  /// The index of the member's pool, for the pool's limit; `any` when it is not listed.
+  /// The index of the member's pool, for the pool's limit; `no_index` when it is not listed.
   [[nodiscard]] std::uint32_t pool_of(const std::string& name) const;
 
   /// Chooses the candidates for a look-up and takes its turn in the shares. Nothing when no route matches.
--- a/src/service.hpp
+++ b/src/service.hpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "config/config.hpp"
+#include "config/platform_config.hpp"
 #include "core/router.hpp"
 
 namespace heathturn {
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -82,7 +82,7 @@
   EXPECT_EQ(end.event.cause, FailureCause::destination_processor_full);
   EXPECT_EQ(end.event.elapsed, Duration{18500});
   EXPECT_FALSE(end.event.call_finished);
-  const auto report = to_report({"spare", "new_thing", "utilization", "backlog", "beyond"}, end.figures);
+  const auto report = to_load_report({"spare", "new_thing", "utilization", "backlog", "beyond"}, end.figures);
   EXPECT_FLOAT_EQ(static_cast<float>(*report.free_circuits), 0.4F);
   EXPECT_FLOAT_EQ(static_cast<float>(*report.utilisation), 0.62F);
   EXPECT_EQ(report.queued_set_ups, 3.0);
@@ -175,7 +175,7 @@
   EXPECT_EQ(parsed.settings.classes[1].worth, 2.0);
   EXPECT_EQ(parsed.settings.classes[1].circuits, 3.0);
   EXPECT_EQ(parsed.settings.release_wait, Duration{500000});
-  EXPECT_EQ(parsed.columns, (std::vector<std::string>{"spare", "total", "utilization"}));
+  EXPECT_EQ(parsed.report_columns, (std::vector<std::string>{"spare", "total", "utilization"}));
 }
 
 }  // namespace
--- a/tests/router/config_test.cpp
+++ b/tests/router/config_test.cpp
@@ -235,7 +235,7 @@
   for (const auto& each : difference.changes) {
     CHECK((each.kind == "policy" || each.text == "numbers 649: policy quick, was within-1.5s"));
   }
-  const auto with_registry = convert_old_site("old", R"({"listen":"127.0.0.1:1","suffix":"e.org",
+  const auto with_registry = convert_json_site("old", R"({"listen":"127.0.0.1:1","suffix":"e.org",
     "numbers":[{"prefix":"","destination":3}],
     "eureka":{"registry":"127.0.0.1:2","application":"ns","fetch_every_ms":250,"register_as":"h"},
     "settings":{"balancers":1,"classes":[{"name":"a","importance":1,"objective_us":1000000,"give_up_us":2000000}],
@@ -244,7 +244,7 @@
   CHECK(config.pools.at(0).from_registry->number == 3);
   CHECK(config.registries.at(0).fetch_every_ms == 250);
   CHECK(config.registries.at(0).own_application == "h");
-  CHECK(config.policies.at(0).attempts == 6);
+  CHECK(config.policies.at(0).max_attempts == 6);
   CHECK(run({"config", "convert", converted}).status == 1);
 }
 
--- a/tests/router/routes_test.cpp
+++ b/tests/router/routes_test.cpp
@@ -144,30 +144,30 @@
   const auto tui = table.tenant_of(0x0a020304), matai = table.tenant_of(0x0a010304);
   CHECK(config->tenants[tui].name == "tui");
   CHECK(config->tenants[matai].name == "matai");
-  CHECK(table.tenant_of(0x0b000001) == any);
-  CHECK(table.class_of("6451", any) == 1);
-  CHECK(table.class_of("641", any) == 0);
+  CHECK(table.tenant_of(0x0b000001) == no_index);
+  CHECK(table.class_of("6451", no_index) == 1);
+  CHECK(table.class_of("641", no_index) == 0);
   CHECK(table.class_of("641", matai) == 1);
   const auto route = [&](const char* number, std::uint32_t tenant, const char* time) {
     const auto minute = units::week_spans(std::string(time) + "-24:00").value->front().from;
     const auto* found = table.find({number, table.class_of(number, tenant), tenant, minute});
     return found == nullptr ? -1 : static_cast<int>(found - config->routes.data());
   };
-  CHECK(route("641", any, "Mon 12:00") == 4);
-  CHECK(route("641", any, "Mon 22:00") == 3);
-  CHECK(route("641", any, "Sat 05:59") == 3);  // the night that began on Friday
-  CHECK(route("641", any, "Sat 06:00") == 4);
-  CHECK(route("641", any, "Mon 05:59") == 4);  // the night that began on Sunday is not in the schedule
+  CHECK(route("641", no_index, "Mon 12:00") == 4);
+  CHECK(route("641", no_index, "Mon 22:00") == 3);
+  CHECK(route("641", no_index, "Sat 05:59") == 3);  // the night that began on Friday
+  CHECK(route("641", no_index, "Sat 06:00") == 4);
+  CHECK(route("641", no_index, "Mon 05:59") == 4);  // the night that began on Sunday is not in the schedule
   CHECK(route("641", tui, "Mon 22:00") == 0);
   CHECK(route("641", matai, "Mon 12:00") == 1);
-  CHECK(route("6451", any, "Sun 12:00") == 5);
-  CHECK(route("6451", any, "Mon 12:00") == 1);  // falls back to the shorter prefix
+  CHECK(route("6451", no_index, "Sun 12:00") == 5);
+  CHECK(route("6451", no_index, "Mon 12:00") == 1);  // falls back to the shorter prefix
   CHECK(route("611", matai, "Mon 12:00") == 2);
-  CHECK(route("611", any, "Mon 12:00") == -1);
-  CHECK(route("", any, "Mon 12:00") == -1);
+  CHECK(route("611", no_index, "Mon 12:00") == -1);
+  CHECK(route("", no_index, "Mon 12:00") == -1);
   // 2026-12-01 was a Tuesday; 11:30 UTC is 23:30 at +12:00.
   const double time_ms = 1796124600000.0;
-  CHECK(units::week_text({{units::minute_of_week(time_ms, config->zone), units::minutes_a_week}})
+  CHECK(units::week_text({{units::minute_of_week(time_ms, config->time_zone), units::minutes_a_week}})
             .starts_with("Tue 23:30"));
 }
 
@@ -184,7 +184,7 @@
   const auto number = [&](const char* name) { return selector.exchange_number_of(name); };
   std::map<ExchangeNumber, int> first;
   for (int i = 0; i < 1000; ++i) {
-    const auto choice = selector.choose({"641", 0, any, 0});
+    const auto choice = selector.choose({"641", 0, no_index, 0});
     REQUIRE(choice);
     CHECK(choice->candidates.size() == 6);
     CHECK(choice->candidates.back() == number("r1"));
@@ -194,7 +194,7 @@
   CHECK(std::abs(first[number("p2")] - 175) <= 2);
   CHECK(std::abs(first[number("q1")] - 300) <= 1);
   CHECK(first.size() == 3);
-  const auto candidates = selector.choose({"641", 0, any, 0})->candidates;
+  const auto candidates = selector.choose({"641", 0, no_index, 0})->candidates;
   const auto position = [&](const char* name) {
     return std::find(candidates.begin(), candidates.end(), number(name)) - candidates.begin();
   };
@@ -205,18 +205,18 @@
   members[0][0].ready = members[0][1].ready = false;
   selector.set_members(members);
   first.clear();
-  for (int i = 0; i < 100; ++i) ++first[selector.choose({"641", 0, any, 0})->candidates.front()];
+  for (int i = 0; i < 100; ++i) ++first[selector.choose({"641", 0, no_index, 0})->candidates.front()];
   CHECK(std::abs(first[number("far")] - 70) <= 2);
   for (auto& each : members[0]) each.ready = false;
   selector.set_members(members);
   for (int i = 0; i < 100; ++i)
-    CHECK(selector.choose({"641", 0, any, 0})->candidates.front() == number("q1"));
+    CHECK(selector.choose({"641", 0, no_index, 0})->candidates.front() == number("q1"));
   members[1][0].ready = false;
   selector.set_members(members);
-  CHECK(selector.choose({"641", 0, any, 0})->candidates == std::vector{number("r1")});
+  CHECK(selector.choose({"641", 0, no_index, 0})->candidates == std::vector{number("r1")});
   members[2][0].ready = false;
   selector.set_members(members);
-  CHECK(selector.choose({"641", 0, any, 0})->candidates.empty());
+  CHECK(selector.choose({"641", 0, no_index, 0})->candidates.empty());
 }
 
 TEST_CASE("replaced members leave no state behind, and a released number is not reused soon") {
@@ -239,15 +239,15 @@
 
 TEST_CASE("the limits of a policy: open look-ups, look-ups per second, and a bounded burst") {
   Policy policy;
-  policy.most_open = 3;
+  policy.max_open_requests = 3;
   PolicyLimiter limiter;
   limiter.set_limits(policy);
   for (int i = 0; i < 3; ++i) CHECK(limiter.try_acquire(0) == PolicyLimiter::Decision::admitted);
   CHECK(limiter.try_acquire(0) == PolicyLimiter::Decision::too_many_open);
   limiter.release();
   CHECK(limiter.try_acquire(0) == PolicyLimiter::Decision::admitted);
-  policy.most_open = 0;
-  policy.rate = 10;
+  policy.max_open_requests = 0;
+  policy.rate_per_second = 10;
   policy.burst = 5;
   limiter.set_limits(policy);  // while look-ups are open
   double now = 1e12;
@@ -279,13 +279,13 @@
   CHECK(limiter->try_acquire(0) == PolicyLimiter::Decision::admitted);
   const auto after = config_from_text("policy { name: \"default\" most_open: 1 } " + pools_and_route);
   selector.apply_config(after);
-  CHECK(selector.choose({"1", 0, any, 0})->candidates.empty());  // no members are set yet
+  CHECK(selector.choose({"1", 0, no_index, 0})->candidates.empty());  // no members are set yet
   selector.set_members(members_of(*after));
   CHECK(selector.limiter(0) == limiter);
   CHECK(limiter->try_acquire(0) == PolicyLimiter::Decision::too_many_open);
   limiter->release();
   CHECK(limiter->try_acquire(0) == PolicyLimiter::Decision::admitted);
-  CHECK(selector.choose({"1", 0, any, 0})->candidates.size() == 2);
+  CHECK(selector.choose({"1", 0, no_index, 0})->candidates.size() == 2);
 }
 
 }  // namespace
--- a/tests/router/stand_in.hpp
+++ b/tests/router/stand_in.hpp
@@ -22,7 +22,7 @@
 #include <utility>
 #include <vector>
 
-#include "config/config.hpp"
+#include "config/platform_config.hpp"
 #include "net/address.hpp"
 #include "platform/message.hpp"
 
