--- a/src/config/convert.cpp
+++ b/src/config/convert.cpp
@@ -21,24 +21,25 @@
 
 constexpr const char* registry_name = "registry";
 
-class Converting {
+/// Builds the site message from the JSON configuration, section by section.
+class JsonSiteConversion {
  public:
-  Converting(const JsonObject& root) : root_(root), settings_(read_settings(root).settings) {}
+  JsonSiteConversion(const JsonObject& root) : root_(root), settings_(read_settings(root).settings) {}
 
   const config::v1::Site& run() {
     site_.set_listen(root_.text("listen"));
     site_.set_suffix(root_.text("suffix"));
     if (root_.find("console") != nullptr) site_.set_console(root_.object("console").text("socket"));
-    classes();
-    if (root_.find("eureka") != nullptr) registry();
-    pools();
-    decisions();
-    routes();
+    convert_classes();
+    if (root_.find("eureka") != nullptr) convert_registry();
+    convert_pools();
+    convert_decisions();
+    convert_routes();
     return site_;
   }
 
  private:
-  void classes() {
+  void convert_classes() {
     for (const auto& each : settings_.classes) {
       auto& out = *site_.add_class_();
       out.set_name(each.name);
@@ -49,7 +50,7 @@
     }
   }
 
-  void registry() {
+  void convert_registry() {
     const auto from = root_.object("eureka");
     auto& out = *site_.add_registry();
     out.set_name(registry_name);
@@ -64,35 +65,35 @@
     if (from.find("heartbeat_ms") != nullptr) own.set_heartbeat(time("heartbeat_ms"));
   }
 
-  static std::uint32_t number_in(const JsonObject& from, const char* key) {
+  static std::uint32_t read_pool_number(const JsonObject& from, const char* key) {
     return static_cast<std::uint32_t>(from.number(key, 0, 65535));
   }
 
-  /// One pool for each number that look-ups went to.
-  void pools() {
+  /// Creates a pool for each number that look-ups are routed to.
+  void convert_pools() {
     std::map<std::uint32_t, std::vector<JsonObject>> servers;
     if (root_.find("upstreams") != nullptr) {
       const auto& list = root_.array("upstreams");
       for (rapidjson::SizeType i = 0; i < list.Size(); ++i) {
         const JsonObject each(list[i], "upstreams." + std::to_string(i));
-        servers[number_in(each, "number")].push_back(each);
+        servers[read_pool_number(each, "number")].push_back(each);
       }
     }
-    const bool listed = site_.registry_size() > 0;
+    const bool has_registry = site_.registry_size() > 0;
     const auto& numbers = root_.array("numbers");
     for (rapidjson::SizeType i = 0; i < numbers.Size(); ++i) {
       const JsonObject each(numbers[i], "numbers." + std::to_string(i));
-      const auto number = number_in(each, "destination");
-      if (!listed && !servers.contains(number)) {
+      const auto number = read_pool_number(each, "destination");
+      if (!has_registry && !servers.contains(number)) {
         throw InputError(each.path("destination") + ": no upstream has the number " + std::to_string(number));
       }
       servers[number];
     }
     for (const auto& [number, members] : servers) {
       auto& pool = *site_.add_pool();
-      pool.set_name(members.size() == 1 && !listed ? members.front().text("name")
-                                                   : "number-" + std::to_string(number));
-      pools_[number] = pool.name();
+      pool.set_name(members.size() == 1 && !has_registry ? members.front().text("name")
+                                                         : "number-" + std::to_string(number));
+      pool_names_[number] = pool.name();
       for (const auto& each : members) {
         auto& member = *pool.add_member();
         member.set_name(each.text("name"));
@@ -101,7 +102,7 @@
           member.set_most_requests(static_cast<std::uint32_t>(each.number("lookups", 1, 10000)));
         }
       }
-      if (!listed) continue;
+      if (!has_registry) continue;
       auto& from = *pool.mutable_from_registry();
       from.set_registry(registry_name);
       from.set_application(root_.object("eureka").text("application"));
@@ -109,13 +110,13 @@
     }
   }
 
-  void decisions() {
+  void convert_decisions() {
     auto& out = *site_.mutable_decisions();
     out.set_routers(settings_.controller_count);
     const auto attempts = std::min(settings_.attempt_limit, max_attempts_per_request);
     out.set_attempts(attempts);
-    const double wait = to_ms(settings_.release_wait) - socket_slack_ms;
-    if (wait > 0) out.set_release_wait(units::duration_text(wait));
+    const double wait_ms = to_ms(settings_.release_wait) - socket_slack_ms;
+    if (wait_ms > 0) out.set_release_wait(units::duration_text(wait_ms));
     if (settings_.batch_interval > Duration{0})
       out.set_step(units::duration_text(to_ms(settings_.batch_interval)));
     out.set_cancelling(settings_.cancelling);
@@ -127,30 +128,31 @@
     policy.set_attempts(attempts);
   }
 
-  void routes() {
+  void convert_routes() {
     const auto& numbers = root_.array("numbers");
     std::set<std::string> policies;
     for (rapidjson::SizeType i = 0; i < numbers.Size(); ++i) {
       const JsonObject each(numbers[i], "numbers." + std::to_string(i));
       const auto prefix = each.text("prefix");
       const auto name = each.text("class", settings_.classes.front().name);
-      const auto kind = std::find_if(settings_.classes.begin(), settings_.classes.end(),
-                                     [&name](const auto& other) { return other.name == name; });
-      if (kind == settings_.classes.end())
+      const auto matching_class =
+          std::find_if(settings_.classes.begin(), settings_.classes.end(),
+                       [&name](const auto& candidate) { return candidate.name == name; });
+      if (matching_class == settings_.classes.end())
         throw InputError(each.path("class") + " is not a class of the settings");
-      site_.mutable_class_(static_cast<int>(kind - settings_.classes.begin()))->add_prefix(prefix);
+      site_.mutable_class_(static_cast<int>(matching_class - settings_.classes.begin()))->add_prefix(prefix);
       auto& route = *site_.add_route();
       if (!prefix.empty()) route.add_prefix(prefix);
-      // Any other upstream served as second choice.
-      const auto first = number_in(each, "destination");
-      route.add_to()->set_pool(pools_.at(first));
-      for (const auto& [number, pool] : pools_) {
-        if (number != first) route.add_to()->set_pool(pool);
+      // In the JSON form, every other upstream served as the second choice.
+      const auto first_choice = read_pool_number(each, "destination");
+      route.add_to()->set_pool(pool_names_.at(first_choice));
+      for (const auto& [number, pool] : pool_names_) {
+        if (number != first_choice) route.add_to()->set_pool(pool);
       }
-      const double give_up = to_ms(kind->give_up_after);
-      const double deadline = each.number("deadline_ms", 100, 60000, give_up);
-      if (deadline == give_up) continue;
-      const auto text = units::duration_text(deadline);
+      const double give_up_ms = to_ms(matching_class->give_up_after);
+      const double deadline_ms = each.number("deadline_ms", 100, 60000, give_up_ms);
+      if (deadline_ms == give_up_ms) continue;
+      const auto text = units::duration_text(deadline_ms);
       const auto policy_name = "within-" + text;
       route.set_policy(policy_name);
       if (!policies.insert(policy_name).second) continue;
@@ -164,7 +166,7 @@
   const JsonObject& root_;
   Settings settings_;
   config::v1::Site site_;
-  std::map<std::uint32_t, std::string> pools_;  ///< names, by number
+  std::map<std::uint32_t, std::string> pool_names_;  ///< by number
 };
 
 }  // namespace
@@ -173,21 +175,21 @@
   rapidjson::Document document;
   parse_json(document, json, name);
   const JsonObject root(document, "");
-  Converting converting(root);
+  JsonSiteConversion conversion(root);
   std::string text;
-  google::protobuf::TextFormat::PrintToString(converting.run(), &text);
-  // Each thing of the site stands apart from the one before it.
+  google::protobuf::TextFormat::PrintToString(conversion.run(), &text);
+  // Puts an empty line before each block whose kind differs from that of the entry before it.
   std::string spaced = "# Converted from " + name + ".\n";
-  std::string last;
-  for (std::size_t at = 0; at < text.size();) {
-    const auto end = std::min(text.find('\n', at), text.size());
-    const auto line = text.substr(at, end - at);
+  std::string previous_key;
+  for (std::size_t position = 0; position < text.size();) {
+    const auto end = std::min(text.find('\n', position), text.size());
+    const auto line = text.substr(position, end - position);
     const auto key = line.substr(0, line.find_first_of(": "));
-    const bool opens = !line.empty() && line.front() != ' ' && line.front() != '}';
-    if (opens && key != last && line.back() == '{') spaced += "\n";
-    if (opens) last = key;
+    const bool is_top_level = !line.empty() && line.front() != ' ' && line.front() != '}';
+    if (is_top_level && key != previous_key && line.back() == '{') spaced += "\n";
+    if (is_top_level) previous_key = key;
     spaced += line + "\n";
-    at = end + 1;
+    position = end + 1;
   }
   Faults faults;
   const auto out = format_source(name, spaced, faults);
--- a/src/config/json_object.hpp
+++ b/src/config/json_object.hpp
@@ -48,7 +48,7 @@
   }
   [[nodiscard]] const rapidjson::Value& array(const char* key) const {
     const auto& value = required(key);
-    if (!value.IsArray()) throw maddershed::InputError(path(key) + " is not a list");
+    if (!value.IsArray()) throw maddershed::InputError(path(key) + " is not an array");
     return value;
   }
   [[nodiscard]] JsonObject object(const char* key) const { return {required(key), path(key)}; }
@@ -56,7 +56,7 @@
 
  private:
   [[nodiscard]] std::string text_of(const rapidjson::Value& value, const char* key) const {
-    if (!value.IsString()) throw maddershed::InputError(path(key) + " is not a text");
+    if (!value.IsString()) throw maddershed::InputError(path(key) + " is not a string");
     return {value.GetString(), value.GetStringLength()};
   }
   const rapidjson::Value& value_;
@@ -67,7 +67,8 @@
 inline void parse_json(rapidjson::Document& document, const std::string& text, const std::string& what) {
   document.Parse<rapidjson::kParseIterativeFlag>(text.data(), text.size());
   if (document.HasParseError()) {
-    throw maddershed::InputError(what + " is not JSON, at byte " + std::to_string(document.GetErrorOffset()));
+    throw maddershed::InputError(what + " is not JSON, error at byte " +
+                                 std::to_string(document.GetErrorOffset()));
   }
 }
 
--- a/src/config/platform_config.cpp
+++ b/src/config/platform_config.cpp
@@ -16,94 +16,101 @@
 
 namespace {
 
-std::string scalar(const rapidjson::Value& value, const std::string& path) {
+/// A JSON scalar as text; null is empty. Throws InputError for an object or array.
+std::string scalar_text(const rapidjson::Value& value, const std::string& path) {
   if (value.IsString()) return {value.GetString(), value.GetStringLength()};
   if (value.IsBool()) return value.GetBool() ? "true" : "false";
   if (value.IsInt64()) return std::to_string(value.GetInt64());
   if (value.IsUint64()) return std::to_string(value.GetUint64());
   if (value.IsNull()) return "";
-  if (!value.IsDouble()) throw InputError(path + " is not a plain value");
+  if (!value.IsDouble()) throw InputError(path + " is not a scalar value");
   std::array<char, 32> buffer{};
   const auto end = std::to_chars(buffer.data(), buffer.data() + buffer.size(), value.GetDouble()).ptr;
   return {buffer.data(), end};
 }
 
-/// The nested settings as the `path=value` lines that the adapter is given for the same ones.
+/// Appends nested settings to `out` as `path=value` lines, the form in which the adapter receives them.
 void flatten(const rapidjson::Value& value, const std::string& path, std::string& out) {
-  const auto inner = [&path](const std::string& key) { return path.empty() ? key : path + "." + key; };
+  const auto child_path = [&path](const std::string& key) { return path.empty() ? key : path + "." + key; };
   if (value.IsObject()) {
-    for (const auto& member : value.GetObject()) flatten(member.value, inner(member.name.GetString()), out);
+    for (const auto& member : value.GetObject())
+      flatten(member.value, child_path(member.name.GetString()), out);
     return;
   }
   if (!value.IsArray()) {
-    out += path + "=" + scalar(value, path) + "\n";
+    out += path + "=" + scalar_text(value, path) + "\n";
     return;
   }
-  const bool nested = !value.Empty() && (value[0].IsObject() || value[0].IsArray());
-  if (!nested) {
+  const bool has_nested_values = !value.Empty() && (value[0].IsObject() || value[0].IsArray());
+  if (!has_nested_values) {
     out += path + "=";
     for (rapidjson::SizeType i = 0; i < value.Size(); ++i) {
       if (i > 0) out += ',';
-      out += scalar(value[i], path);
+      out += scalar_text(value[i], path);
     }
     out += "\n";
     return;
   }
-  out += inner("count") + "=" + std::to_string(value.Size()) + "\n";
-  for (rapidjson::SizeType i = 0; i < value.Size(); ++i) flatten(value[i], inner(std::to_string(i)), out);
+  out += child_path("count") + "=" + std::to_string(value.Size()) + "\n";
+  for (rapidjson::SizeType i = 0; i < value.Size(); ++i)
+    flatten(value[i], child_path(std::to_string(i)), out);
 }
 
-ExchangeState state_of(const JsonObject& from) {
-  const auto word = from.text("status");
-  if (word == "in_service") return ExchangeState::ready;
-  if (word == "terminating") return ExchangeState::draining;
-  if (word == "terminated") return ExchangeState::gone;
-  throw InputError(from.path("status") + " is no known state");
+ExchangeState read_state(const JsonObject& endpoint) {
+  const auto status = endpoint.text("status");
+  if (status == "in_service") return ExchangeState::ready;
+  if (status == "terminating") return ExchangeState::draining;
+  if (status == "terminated") return ExchangeState::gone;
+  throw InputError(endpoint.path("status") + " is not a known state");
 }
 
-Converter converter_of(const JsonObject& from, const std::vector<std::string>& zones) {
+/// Reads a converter from an endpoint of the topology. `zones` are the zone names, by region number.
+Converter read_converter(const JsonObject& endpoint, const std::vector<std::string>& zones) {
   Converter out;
-  const auto id = parse_exchange_id(from.text("name"));
-  if (!id) throw InputError(from.path("name") + " is no converter's name");
+  const auto id = parse_exchange_id(endpoint.text("name"));
+  if (!id) throw InputError(endpoint.path("name") + " is not a converter name");
   out.entry.exchange = *id;
   out.name = exchange_id_text(*id);
-  out.address = read_address(from, "address");
-  out.entry.number = to_exchange_number(static_cast<float>(from.number("group", -1, 65535, -1)));
-  out.entry.state = state_of(from);
-  const auto zone = from.text("zone", "");
+  out.address = read_address(endpoint, "address");
+  out.entry.number = to_exchange_number(static_cast<float>(endpoint.number("group", -1, 65535, -1)));
+  out.entry.state = read_state(endpoint);
+  const auto zone = endpoint.text("zone", "");
   for (std::size_t i = 0; i < zones.size(); ++i) {
     if (zones[i] == zone) out.entry.region = static_cast<std::uint8_t>(i);
   }
-  const double since = from.number("since_ms", 0, 1e15, 0);
-  if (since > 0) out.entry.started_at = to_time(since);
+  const double since_ms = endpoint.number("since_ms", 0, 1e15, 0);
+  if (since_ms > 0) out.entry.started_at = to_time(since_ms);
   return out;
 }
 
-/// The events up to now, in order: later words on a converter replace earlier ones.
-void read_known(const JsonObject& known, const std::vector<std::string>& zones, PlatformConfig& config) {
+/// Reads the bus events so far, in order. A later entry of a converter replaces an earlier one, and a
+/// snapshot replaces all.
+void read_known_converters(const JsonObject& known, const std::vector<std::string>& zones,
+                           PlatformConfig& config) {
   config.bus_offset = static_cast<std::uint64_t>(known.number("offset", 0, 1e18));
-  std::map<ExchangeId, Converter> list;
+  std::map<ExchangeId, Converter> converters;
   const auto& batch = known.array("batch");
   for (rapidjson::SizeType i = 0; i < batch.Size(); ++i) {
     const JsonObject event(batch[i], known.path("batch." + std::to_string(i)));
     if (event.find("topology") == nullptr) continue;
     const auto topology = event.object("topology");
-    const auto* whole = topology.find("snapshot");
-    if (whole != nullptr && whole->IsBool() && whole->GetBool()) list.clear();
+    const auto* snapshot = topology.find("snapshot");
+    if (snapshot != nullptr && snapshot->IsBool() && snapshot->GetBool()) converters.clear();
     const auto& endpoints = topology.array("endpoints");
     for (rapidjson::SizeType j = 0; j < endpoints.Size(); ++j) {
       const JsonObject endpoint(endpoints[j], topology.path("endpoints." + std::to_string(j)));
-      const auto converter = converter_of(endpoint, zones);
-      list[converter.entry.exchange] = converter;
+      const auto converter = read_converter(endpoint, zones);
+      converters[converter.entry.exchange] = converter;
     }
   }
-  for (auto& [id, converter] : list) config.known_converters.push_back(converter);
+  for (auto& [id, converter] : converters) config.known_converters.push_back(converter);
 }
 
-std::vector<std::string> texts(const JsonObject& from, const char* key) {
+/// The scalars of a list as texts; empty when the key is missing.
+std::vector<std::string> read_texts(const JsonObject& from, const char* key) {
   std::vector<std::string> out;
   if (from.find(key) == nullptr) return out;
-  for (const auto& each : from.array(key).GetArray()) out.push_back(scalar(each, from.path(key)));
+  for (const auto& each : from.array(key).GetArray()) out.push_back(scalar_text(each, from.path(key)));
   return out;
 }
 
@@ -112,9 +119,9 @@
 std::string read_file(const std::string& path) {
   std::ifstream in(path, std::ios::binary);
   if (!in) throw InputError("cannot read " + path);
-  std::ostringstream text;
-  text << in.rdbuf();
-  return text.str();
+  std::ostringstream contents;
+  contents << in.rdbuf();
+  return contents.str();
 }
 
 std::optional<ExchangeId> parse_exchange_id(const std::string& text) {
@@ -148,9 +155,10 @@
   const auto lines = settings_text(root);
   try {
     auto parsed = parse_settings(lines);
-    // Rule: on sockets the limits of time are longer by this; the module plans its retries by it.
+    // Must hold: the release wait includes the socket slack, because all time limits on sockets are longer by
+    // it and the module plans its retries by the release wait.
     parsed.settings.release_wait += to_duration(socket_slack_ms);
-    (void)CallController(parsed.settings, 0);  // checks what the reader does not
+    (void)CallController(parsed.settings, 0);  // checks what parse_settings() does not
     return parsed;
   } catch (const std::exception& error) {
     throw InputError(std::string("settings: ") + error.what());
@@ -174,12 +182,13 @@
     config.max_sockets = static_cast<std::size_t>(limits.number("sockets", 16, 1e7, 1024));
     config.max_memory_mb = static_cast<std::size_t>(limits.number("memory_mb", 8, 1e6, 2048));
   }
-  // What peers can make the program hold stays within the memory: half of it for set-ups, whose descriptions
-  // stand there twice while they wait for a connection, and a quarter for what peers leave unread.
-  const auto quarter = config.max_memory_mb * 1024 * 1024 / 4;
-  config.max_open_requests = std::clamp<std::size_t>(quarter / max_line_bytes, 64, 20000);
+  // Limits what peers can make the program hold to the memory limit: half of it for set-ups, whose
+  // descriptions are held twice while they wait for a connection, and a quarter for data that peers leave
+  // unread.
+  const auto quarter_bytes = config.max_memory_mb * 1024 * 1024 / 4;
+  config.max_open_requests = std::clamp<std::size_t>(quarter_bytes / max_line_bytes, 64, 20000);
   config.max_unsent_bytes =
-      std::clamp<std::size_t>(quarter / config.max_sockets, 2 * max_line_bytes, std::size_t{1} << 20);
+      std::clamp<std::size_t>(quarter_bytes / config.max_sockets, 2 * max_line_bytes, std::size_t{1} << 20);
   if (root.find("bus") != nullptr) config.bus = read_address(root, "bus");
 
   const auto settings = root.object("settings");
@@ -203,7 +212,8 @@
       config.tenant_names.insert(each.text("name"));
     }
   }
-  if (root.find("known") != nullptr) read_known(root.object("known"), texts(settings, "areas"), config);
+  if (root.find("known") != nullptr)
+    read_known_converters(root.object("known"), read_texts(settings, "areas"), config);
   return config;
 }
 
--- a/src/config/site_reader.hpp
+++ b/src/config/site_reader.hpp
@@ -18,9 +18,10 @@
 };
 
 /// Reads the file and everything it includes. Faults and warnings are added to `faults`; after an error the
-/// result must not be put into service. Each resolved setting is appended to `resolved`, if given, in order.
+/// result must not be put into service. Each resolved setting is appended to `resolved_settings`, if
+/// given, in order.
 [[nodiscard]] EnumConfig read_site(const std::string& path, Faults& faults,
-                                   std::vector<ResolvedSetting>* resolved = nullptr);
+                                   std::vector<ResolvedSetting>* resolved_settings = nullptr);
 
 /// Reads the file for use in service. Throws ConfigError with every fault.
 [[nodiscard]] EnumConfig load_site(const std::string& path);
--- a/tests/router/config_test.cpp
+++ b/tests/router/config_test.cpp
@@ -211,7 +211,7 @@
   CHECK(ran.status == 1);
   CHECK(std::count(ran.out.begin(), ran.out.end(), '\n') == 5);
   CHECK(holds(ran.out, "deadline: 1500 has no unit; expected a duration such as"));
-  CHECK(holds(ran.out, "pool.north.member.north.address: \"nowhere\" is no address"));
+  CHECK(holds(ran.out, "pool.north.member.north.address: \"nowhere\" is not an address"));
   CHECK(holds(ran.out, "route.649.policy: no policy is named \"quack\"; expected one of default, quick"));
   CHECK(holds(ran.out, "wroth: there is no such field here; expected name, worth"));
   CHECK(holds(ran.out, "class.look-up.aim: \"1\" has no unit"));
