--- a/tests/router/codec_test.cpp
+++ b/tests/router/codec_test.cpp
@@ -1,4 +1,4 @@
-// What comes off the wire, read and refused: JSON lines, DNS messages, configuration.
+// Tests of the parsers and serializers: JSON lines of the platform, DNS messages, lists of a Eureka registry.
 #include <catch2/catch.hpp>
 
 #include "core/router.hpp"
