--- a/src/config/convert.cpp
+++ b/src/config/convert.cpp
@@ -191,9 +191,9 @@
     spaced += line + "\n";
     position = end + 1;
   }
-  Faults faults;
-  const auto out = format_source(name, spaced, faults);
-  if (!out) throw ConfigError(faults);
+  Diagnostics diagnostics;
+  const auto out = format_source(name, spaced, diagnostics);
+  if (!out) throw ConfigError(diagnostics);
   return *out;
 }
 
--- a/src/config/faults.hpp
+++ b/src/config/diagnostics.hpp
@@ -11,41 +11,41 @@
 
 namespace heathturn {
 
-struct Fault {
+struct Diagnostic {
   std::string file;
   int line = 0, column = 0;  ///< from 1; 0: the file as a whole
   std::string key;
-  std::string text;
+  std::string message;
   std::string expected;  ///< empty where the text says it all
-  bool warning = false;
+  bool is_warning = false;
 
   /// "FILE:LINE:COL: key: fault; what is expected".
-  [[nodiscard]] std::string line_text() const;
+  [[nodiscard]] std::string to_text() const;
 };
 
 /// Collects faults in the order of their finding; one for each key at a place, and so many at most.
-class Faults {
+class Diagnostics {
  public:
-  void add(Fault fault);
-  [[nodiscard]] bool any_error() const { return errors_ > 0; }
-  [[nodiscard]] std::size_t errors() const { return errors_; }
-  [[nodiscard]] const std::vector<Fault>& all() const { return faults_; }
+  void add(Diagnostic diagnostic);
+  [[nodiscard]] bool has_errors() const { return error_count_ > 0; }
+  [[nodiscard]] std::size_t error_count() const { return error_count_; }
+  [[nodiscard]] const std::vector<Diagnostic>& all() const { return diagnostics_; }
   /// Found beyond those kept.
-  [[nodiscard]] std::size_t left_out() const { return left_out_; }
+  [[nodiscard]] std::size_t omitted_count() const { return omitted_count_; }
   /// By file as first met, then line and column.
-  void sort();
+  void sort_by_location();
 
  private:
-  std::vector<Fault> faults_;
+  std::vector<Diagnostic> diagnostics_;
   std::set<std::tuple<std::string, int, std::string>> seen_;
-  std::size_t errors_ = 0;
-  std::size_t left_out_ = 0;
+  std::size_t error_count_ = 0;
+  std::size_t omitted_count_ = 0;
 };
 
 /// A file that cannot be used; what() is its faults, one a line, without warnings.
 class ConfigError : public maddershed::InputError {
  public:
-  explicit ConfigError(const Faults& faults);
+  explicit ConfigError(const Diagnostics& diagnostics);
 };
 
 }  // namespace heathturn
--- a/src/config/explain.cpp
+++ b/src/config/explain.cpp
@@ -32,7 +32,7 @@
   return "not taken: it is for another time";
 }
 
-std::string class_reason(const EnumConfig& config, const Question& question, std::uint32_t tenant) {
+std::string class_reason(const EnumConfig& config, const NumberQuery& question, std::uint32_t tenant) {
   if (!question.class_name.empty()) return "as asked";
   if (tenant != no_index && config.tenants[tenant].traffic_class != no_index) return "the tenant's";
   std::string longest;
@@ -61,7 +61,7 @@
 
 }  // namespace
 
-std::string explain_number(const EnumConfig& config, const Question& question) {
+std::string explain_number(const EnumConfig& config, const NumberQuery& question) {
   const auto& number = question.number;
   if (number.empty() || number.find_first_not_of("0123456789") != std::string::npos) {
     throw InputError("\"" + number + "\" is no number; expected digits, the country's first");
@@ -80,7 +80,7 @@
   out += "class " + config.settings.classes[look_up.traffic_class].name + " (" +
          class_reason(config, question, look_up.tenant) + ")\n";
   out += "tenant " + (look_up.tenant == no_index ? "none" : config.tenants[look_up.tenant].name) + "\n";
-  const auto to = std::min<int>(look_up.minute_of_week + 1, units::minutes_a_week);
+  const auto to = std::min<int>(look_up.minute_of_week + 1, units::minutes_per_week);
   out += "time " + units::week_text({{look_up.minute_of_week, static_cast<std::uint16_t>(to)}}).substr(0, 9) +
          "\n";
   const Route* taken = nullptr;
--- a/src/config/explain.hpp
+++ b/src/config/explain.hpp
@@ -9,7 +9,7 @@
 
 namespace heathturn {
 
-struct Question {
+struct NumberQuery {
   std::string number;
   std::string class_name;   ///< empty: the number's
   std::string tenant_name;  ///< empty: none
@@ -17,7 +17,7 @@
 };
 
 /// Lines of text. Throws InputError when the question names what is not there.
-[[nodiscard]] std::string explain_number(const EnumConfig& config, const Question& question);
+[[nodiscard]] std::string explain_number(const EnumConfig& config, const NumberQuery& question);
 /// One setting a line, `key = value  # origin`.
 [[nodiscard]] std::string notes_text(const std::vector<ResolvedSetting>& notes);
 
--- a/src/config/formatter.cpp
+++ b/src/config/formatter.cpp
@@ -388,16 +388,17 @@
 
 }  // namespace
 
-std::optional<std::string> format_source(const std::string& name, const std::string& text, Faults& faults) {
-  const auto before = parse_source(name, text, faults);
-  if (faults.any_error()) return std::nullopt;
+std::optional<std::string> format_source(const std::string& name, const std::string& text,
+                                         Diagnostics& diagnostics) {
+  const auto before = parse_source_text(name, text, diagnostics);
+  if (diagnostics.has_errors()) return std::nullopt;
   auto out = Printer().print(Reader(text).block());
-  Faults after_faults;
-  const auto after = parse_source(name, out, after_faults);
-  if (after_faults.any_error() ||
+  Diagnostics diagnostics_after;
+  const auto after = parse_source_text(name, out, diagnostics_after);
+  if (diagnostics_after.has_errors() ||
       !google::protobuf::util::MessageDifferencer::Equals(before->message, after->message)) {
-    faults.add({name, 0, 0, "layout", "the formatted text would not mean the same; the file stays as it is",
-                "", false});
+    diagnostics.add({name, 0, 0, "layout",
+                     "the formatted text would not mean the same; the file stays as it is", "", false});
     return std::nullopt;
   }
   return out;
--- a/src/config/site_diff.cpp
+++ b/src/config/site_diff.cpp
@@ -17,7 +17,7 @@
 
 using routes::LookUp;
 using routes::RouteTable;
-using units::minutes_a_week;
+using units::minutes_per_week;
 
 constexpr std::size_t most_shown = 5;          // numbers named in one sentence
 constexpr std::size_t most_cases = 20000;      // of class, tenant and time looked at for one prefix
@@ -99,7 +99,7 @@
     value("site", "", "suffix", a_.suffix, b_.suffix);
     value("site", "", "console", quoted(a_.console_path), quoted(b_.console_path), true);
     value("site", "", "converters' TLS", tls_text(a_.converter_tls), tls_text(b_.converter_tls));
-    value("site", "", "time_zone", units::zone_text(a_.time_zone), units::zone_text(b_.time_zone));
+    value("site", "", "time_zone", units::time_zone_text(a_.time_zone), units::time_zone_text(b_.time_zone));
   }
 
   void decisions() {
@@ -159,8 +159,9 @@
     for (std::size_t i = 0; same && i < a_.settings.classes.size(); ++i) {
       same = a_.settings.classes[i].name == b_.settings.classes[i].name;
     }
-    const bool told = std::any_of(out_.changes.begin(), out_.changes.end(),
-                                  [](const auto& each) { return each.kind == "class" && each.restart; });
+    const bool told = std::any_of(out_.changes.begin(), out_.changes.end(), [](const auto& each) {
+      return each.kind == "class" && each.needs_restart;
+    });
     if (!same && !told) order_of_classes_ = true;
   }
 
@@ -381,7 +382,7 @@
       if (route->schedule == no_index) continue;
       for (const auto& span : config.schedules[route->schedule]) {
         cases.times.insert(span.from);
-        if (span.to < minutes_a_week) cases.times.insert(span.to);
+        if (span.to < minutes_per_week) cases.times.insert(span.to);
       }
     }
   }
@@ -403,7 +404,7 @@
     for (const auto* config : {&a_, &b_}) {
       for (const auto& route : config->routes) prefixes.insert(route.prefix);
     }
-    out_.ranges = prefixes.size();
+    out_.prefix_count = prefixes.size();
     for (const auto& prefix : prefixes) {
       Cases cases;
       gather(a_, table_a_, prefix, cases);
@@ -419,7 +420,7 @@
       } else {
         group("", "so many classes, tenants and times that they were not compared", prefix);
       }
-      if (moves) ++out_.moved;
+      if (moves) ++out_.moved_prefix_count;
     }
     if (order_of_classes_) add("class", "classes", "classes: they stand in another order", true);
     for (const auto& [words, numbers] : groups_) {
@@ -447,7 +448,7 @@
       for (const auto& tenant : tenants) {
         for (auto it = cases.times.begin(); it != cases.times.end(); ++it) {
           const auto next = std::next(it);
-          const auto end = next == cases.times.end() ? minutes_a_week : *next;
+          const auto end = next == cases.times.end() ? minutes_per_week : *next;
           const auto& change =
               effect(table_a_.find({prefix, class_index(a_, kind), tenant_index(a_, tenant), *it}),
                      table_b_.find({prefix, class_index(b_, kind), tenant_index(b_, tenant), *it}));
@@ -464,7 +465,7 @@
     }
     for (const auto& [text, where] : found) {
       const auto whole_week = [](const auto& each) {
-        return each.second.size() == 1 && each.second[0].from == 0 && each.second[0].to == minutes_a_week;
+        return each.second.size() == 1 && each.second[0].from == 0 && each.second[0].to == minutes_per_week;
       };
       if (where.size() == classes.size() * tenants.size() &&
           std::all_of(where.begin(), where.end(), whole_week)) {
@@ -510,8 +511,8 @@
 }  // namespace
 
 std::string SiteDifference::summary() const {
-  if (moved == 0) return "";
-  return "about " + std::to_string(moved) + " of " + std::to_string(ranges) +
+  if (moved_prefix_count == 0) return "";
+  return "about " + std::to_string(moved_prefix_count) + " of " + std::to_string(prefix_count) +
          " ranges of numbers change their first pool";
 }
 
@@ -535,14 +536,14 @@
     text("subject", each.subject);
     text("text", each.text);
     json.Key("restart");
-    json.Bool(each.restart);
+    json.Bool(each.needs_restart);
     json.EndObject();
   }
   json.EndArray();
   json.Key("ranges");
-  json.Uint64(difference.ranges);
+  json.Uint64(difference.prefix_count);
   json.Key("moved");
-  json.Uint64(difference.moved);
+  json.Uint64(difference.moved_prefix_count);
   json.EndObject();
   return {out.GetString(), out.GetSize()};
 }
--- a/src/config/site_reader.cpp
+++ b/src/config/site_reader.cpp
@@ -118,8 +118,11 @@
 /// that is at fault is replaced by its default.
 class SiteReader {
  public:
-  SiteReader(const std::string& path, Faults& faults, std::vector<ResolvedSetting>* resolved_settings)
-      : faults_(faults), resolved_settings_(resolved_settings), sources_(load_sources(path, faults)) {
+  SiteReader(const std::string& path, Diagnostics& diagnostics,
+             std::vector<ResolvedSetting>* resolved_settings)
+      : diagnostics_(diagnostics),
+        resolved_settings_(resolved_settings),
+        sources_(load_sources(path, diagnostics)) {
     for (std::uint32_t i = 0; i < sources_.files.size(); ++i) {
       const auto& source = *sources_.files[i];
       config_.files.push_back(source.name);
@@ -127,14 +130,14 @@
       root.file = &source;
       root.file_index = i;
       root.message = &source.message;
-      root.tree = source.places.get();
+      root.tree = source.locations.get();
       root.location = {i, 1, 1};
       roots_.push_back(std::move(root));
     }
   }
 
   EnumConfig read() {
-    if (!sources_.whole) return std::move(config_);
+    if (!sources_.complete) return std::move(config_);
     read_converters();
     if (config_.has_enum_frontend) read_frontend();
     for_each("class", [this](const Node& node) { read_class(node); });
@@ -157,8 +160,8 @@
 
   void add_fault(const SourceLocation& location, const std::string& key, const std::string& text,
                  const std::string& expected = "", bool warning = false) {
-    faults_.add({config_.files[location.file], static_cast<int>(location.line),
-                 static_cast<int>(location.column), key, text, expected, warning});
+    diagnostics_.add({config_.files[location.file], static_cast<int>(location.line),
+                      static_cast<int>(location.column), key, text, expected, warning});
   }
   [[nodiscard]] std::string full_location_text(const SourceLocation& location) const {
     return location_text(config_, location) + ":" + std::to_string(location.column);
@@ -187,7 +190,7 @@
     const auto text = node.text(field);
     const auto parsed = parse(text);
     if (!parsed.value) {
-      add_fault(node.location_of(field), node.path(field), "\"" + text + "\" " + parsed.fault, expected);
+      add_fault(node.location_of(field), node.path(field), "\"" + text + "\" " + parsed.error, expected);
       return fallback;
     }
     if (*parsed.value < min || *parsed.value > max) {
@@ -200,11 +203,12 @@
   }
   /// All durations are in ms.
   double read_duration(const Node& node, const char* field, double min, double max, double fallback) {
-    return read_quantity(node, field, units::duration, units::duration_text, units::duration_form, min, max,
-                         fallback);
+    return read_quantity(node, field, units::parse_duration, units::duration_text, units::duration_format,
+                         min, max, fallback);
   }
   double read_share(const Node& node, const char* field, double min, double fallback) {
-    return read_quantity(node, field, units::share, units::share_text, units::share_form, min, 1, fallback);
+    return read_quantity(node, field, units::parse_share, units::share_text, units::share_format, min, 1,
+                         fallback);
   }
   /// `unset_text` stands for the fallback in the resolved settings, if given.
   std::uint32_t read_count(const Node& node, const char* field, std::uint32_t min, std::uint32_t max,
@@ -367,12 +371,12 @@
     config_.console_path = read_text(from != nullptr ? *from : main, "console", "");
     from = find_single("time_zone");
     const auto zone = read_text(from != nullptr ? *from : main, "time_zone", "utc");
-    const auto parsed = units::time_zone(zone);
+    const auto parsed = units::parse_time_zone(zone);
     if (parsed.value) {
       config_.time_zone = *parsed.value;
     } else {
-      add_fault(from->location_of("time_zone"), "time_zone", "\"" + zone + "\" " + parsed.fault,
-                units::zone_form);
+      add_fault(from->location_of("time_zone"), "time_zone", "\"" + zone + "\" " + parsed.error,
+                units::time_zone_format);
     }
   }
 
@@ -518,7 +522,7 @@
     }
     if (message.member_size() == 0 && !message.has_from_registry()) {
       add_fault(node.location, node.path("member"), "the pool has no members", "a member, or from_registry");
-    } else if (weights <= 0 && !faults_.any_error()) {
+    } else if (weights <= 0 && !diagnostics_.has_errors()) {
       add_fault(node.location, node.path("member"), "all weights are 0", "a member with a weight above 0");
     }
     config_.pools.push_back(std::move(out));
@@ -718,7 +722,7 @@
     out.max_attempts = read_count(node, "attempts", 1, max_attempts_per_request, out.max_attempts);
     out.retry_wait_ms = read_duration(node, "retry_wait", 0, 60 * second_ms, out.retry_wait_ms);
     out.max_open_requests = read_count(node, "most_open", 1, 10000, out.max_open_requests);
-    out.rate_per_second = read_quantity(node, "rate", units::rate, units::rate_text, units::rate_form,
+    out.rate_per_second = read_quantity(node, "rate", units::parse_rate, units::rate_text, units::rate_format,
                                         1.0 / 3600, 1e6, out.rate_per_second);
     const bool new_rate = node.has("rate") && !node.has("burst");
     out.burst = read_count(node, "burst", 1, 1000000, new_rate ? 0 : static_cast<std::uint32_t>(out.burst));
@@ -823,10 +827,10 @@
 
   std::uint32_t read_schedule(const Node& node) {
     const auto given = node.text("when");
-    const auto parsed = units::week_spans(given);
+    const auto parsed = units::parse_week_spans(given);
     if (!parsed.value) {
-      add_fault(node.location_of("when"), node.path("when"), "\"" + given + "\" " + parsed.fault,
-                units::times_form);
+      add_fault(node.location_of("when"), node.path("when"), "\"" + given + "\" " + parsed.error,
+                units::times_format);
       return no_index;
     }
     const auto key = units::week_text(*parsed.value);
@@ -854,7 +858,7 @@
           continue;
         }
         has_shares = has_shares || given.has_share();
-        valid = valid && (!given.has_share() || units::share(given.share()).value.has_value());
+        valid = valid && (!given.has_share() || units::parse_share(given.share()).value.has_value());
         auto* saved = std::exchange(resolved_settings_, nullptr);  // add_route() records the targets
         target.share = read_share(child, "share", 0, 0);
         resolved_settings_ = saved;
@@ -898,7 +902,7 @@
     if (!config_.has_enum_frontend) return;
     const auto& main = roots_.back();
     const auto missing = [&](bool empty, const char* key, const char* expected) {
-      if (empty && !faults_.any_error()) add_fault(main.location, key, "none is defined", expected);
+      if (empty && !diagnostics_.has_errors()) add_fault(main.location, key, "none is defined", expected);
     };
     missing(config_.settings.classes.empty(), "class", "at least one class");
     missing(config_.pools.empty(), "pool", "at least one pool");
@@ -922,12 +926,12 @@
 
   /// Adds a fault for each route whose look-ups are all taken by earlier routes of the same prefix.
   void find_unreachable_routes() {
-    if (faults_.any_error()) return;  // after an error, indexes may be invalid
+    if (diagnostics_.has_errors()) return;  // after an error, indexes may be invalid
     struct EarlierRoutes {
       std::vector<units::WeekSpan> spans;
       SourceLocation location;  ///< of the last one
     };
-    const std::vector<units::WeekSpan> whole_week{{0, units::minutes_a_week}};
+    const std::vector<units::WeekSpan> whole_week{{0, units::minutes_per_week}};
     std::unordered_map<std::string, std::map<std::pair<std::uint32_t, std::uint32_t>, EarlierRoutes>> earlier;
     for (const auto& route : config_.routes) {
       const auto& own_spans = route.schedule == no_index ? whole_week : config_.schedules[route.schedule];
@@ -945,7 +949,7 @@
         covering_route = it->second.location;
       }
       const auto key = "route." + (route.prefix.empty() ? "all" : route.prefix);
-      if (covering_route && is_covered(own_spans, units::joined(covered))) {
+      if (covering_route && is_covered(own_spans, units::merge_overlapping(covered))) {
         add_fault(route.location, key,
                   "no look-up reaches this route: earlier routes such as the one at " +
                       full_location_text(*covering_route) + " match them all",
@@ -954,7 +958,7 @@
       check_route_class(route, key);
       auto& own_entry = same_prefix[{route.traffic_class, route.tenant}];
       own_entry.spans.insert(own_entry.spans.end(), own_spans.begin(), own_spans.end());
-      own_entry.spans = units::joined(std::move(own_entry.spans));
+      own_entry.spans = units::merge_overlapping(std::move(own_entry.spans));
       own_entry.location = route.location;
     }
   }
@@ -978,7 +982,7 @@
   }
 
   void warn_about_unused() {
-    if (faults_.any_error()) return;
+    if (diagnostics_.has_errors()) return;
     const auto warn = [this](const SourceLocation& location, const std::string& key, const char* what) {
       add_fault(location, key, what, "", true);
     };
@@ -1012,7 +1016,7 @@
         config_.longest_deadline_ms = std::max(config_.longest_deadline_ms, config_.deadline_ms(policy, i));
       }
     }
-    if (faults_.any_error() || !config_.has_enum_frontend) return;
+    if (diagnostics_.has_errors() || !config_.has_enum_frontend) return;
     try {
       (void)CallController(config_.settings, 0);
     } catch (const std::exception& error) {
@@ -1020,7 +1024,7 @@
     }
   }
 
-  Faults& faults_;
+  Diagnostics& diagnostics_;
   std::vector<ResolvedSetting>* resolved_settings_;
   Sources sources_;
   std::vector<Node> roots_;  ///< one per file; the main file is last
@@ -1038,17 +1042,17 @@
   return policy.deadline_ms > 0 ? policy.deadline_ms : to_ms(settings.classes[traffic_class].give_up_after);
 }
 
-EnumConfig read_site(const std::string& path, Faults& faults,
+EnumConfig read_site(const std::string& path, Diagnostics& diagnostics,
                      std::vector<ResolvedSetting>* resolved_settings) {
-  auto config = SiteReader(path, faults, resolved_settings).read();
-  faults.sort();
+  auto config = SiteReader(path, diagnostics, resolved_settings).read();
+  diagnostics.sort_by_location();
   return config;
 }
 
 EnumConfig load_site(const std::string& path) {
-  Faults faults;
-  auto config = read_site(path, faults);
-  if (faults.any_error()) throw ConfigError(faults);
+  Diagnostics diagnostics;
+  auto config = read_site(path, diagnostics);
+  if (diagnostics.has_errors()) throw ConfigError(diagnostics);
   return config;
 }
 
--- a/src/config/site_reader.hpp
+++ b/src/config/site_reader.hpp
@@ -5,8 +5,8 @@
 #include <string>
 #include <vector>
 
+#include "config/diagnostics.hpp"
 #include "config/enum_config.hpp"
-#include "config/faults.hpp"
 
 namespace heathturn {
 
@@ -17,10 +17,10 @@
   std::string origin;  ///< "FILE:LINE", "default", or the policy that it is inherited from
 };
 
-/// Reads the file and everything it includes. Faults and warnings are added to `faults`; after an error the
-/// result must not be put into service. Each resolved setting is appended to `resolved_settings`, if
+/// Reads the file and everything it includes. Faults and warnings are added to `diagnostics`; after an error
+/// the result must not be put into service. Each resolved setting is appended to `resolved_settings`, if
 /// given, in order.
-[[nodiscard]] EnumConfig read_site(const std::string& path, Faults& faults,
+[[nodiscard]] EnumConfig read_site(const std::string& path, Diagnostics& diagnostics,
                                    std::vector<ResolvedSetting>* resolved_settings = nullptr);
 
 /// Reads the file for use in service. Throws ConfigError with every fault.
--- a/src/config/sources.cpp
+++ b/src/config/sources.cpp
@@ -22,8 +22,8 @@
 
 namespace pb = google::protobuf;
 
-constexpr std::size_t most_files = 1000;
-constexpr std::size_t most_depth = 32;
+constexpr std::size_t max_files = 1000;
+constexpr std::size_t max_nesting_depth = 32;
 constexpr int most_mends = 1000;  // bare numbers told of in one file
 constexpr const char* syntax_form = "protobuf text format, see docs/configuration.md";
 
@@ -102,14 +102,14 @@
 /// The form that a text field takes, by its name; nothing where it is any text.
 const char* form_of(const std::string& key) {
   for (const char* each : {"late_share", "share", "start_capacity"}) {
-    if (key == each) return units::share_form;
+    if (key == each) return units::share_format;
   }
   for (const char* each :
        {"aim", "give_up", "deadline", "retry_wait", "fetch_every", "heartbeat", "release_wait", "step",
         "cold_time", "handshake", "most_age", "full_cost", "resumed_cost", "slow"}) {
-    if (key == each) return units::duration_form;
+    if (key == each) return units::duration_format;
   }
-  return key == "rate" ? units::rate_form : nullptr;
+  return key == "rate" ? units::rate_format : nullptr;
 }
 
 // ---- Faults of the parser --------------------------------------------------------------------------------
@@ -133,8 +133,8 @@
 
 class Collector : public pb::io::ErrorCollector {
  public:
-  Collector(const std::string& name, const std::string& text, Faults& faults)
-      : name_(name), text_(text), faults_(faults) {}
+  Collector(const std::string& name, const std::string& text, Diagnostics& diagnostics)
+      : name_(name), text_(text), diagnostics_(diagnostics) {}
 
   void AddError(int line, pb::io::ColumnNumber column, const std::string& message) override {
     // protobuf may tell twice of one fault; only the first counts, and it goes no further after it. A number
@@ -155,7 +155,7 @@
     if (at != std::string::npos && at >= start) column = static_cast<int>(at - start);
     unknown_line_ = line;
     const auto fields = fields_of(quoted_after(message, "Message type \""));
-    faults_.add({name_, line + 1, column + 1, field, "there is no such field here", fields, false});
+    diagnostics_.add({name_, line + 1, column + 1, field, "there is no such field here", fields, false});
   }
   /// A number where a text with a unit is due: tells of it, and returns the place of the number.
   [[nodiscard]] std::optional<std::pair<std::size_t, std::size_t>> bare_number() {
@@ -171,15 +171,15 @@
     const auto number = text_.substr(at, end - at);
     const bool plain = number.find_first_not_of("0123456789.-") == std::string::npos;
     const char* form = form_of(key);
-    Fault fault{name_, error_line_ + 1, error_column_ + 1, key, number, "", false};
+    Diagnostic fault{name_, error_line_ + 1, error_column_ + 1, key, number, "", false};
     if (form != nullptr) {
-      fault.text += plain ? " has no unit" : " is not in quotes";
+      fault.message += plain ? " has no unit" : " is not in quotes";
       fault.expected = form;
     } else {
-      fault.text += " is no text";
+      fault.message += " is no text";
       fault.expected = "a text in quotes";
     }
-    faults_.add(std::move(fault));
+    diagnostics_.add(std::move(fault));
     return std::pair(at, end);
   }
   void tell() {
@@ -190,14 +190,14 @@
     const auto at = offset_of(text_, error_line_, error_column_);
     if (text_.find_first_not_of(" \t\r\n", at) == std::string::npos)
       words = "the text ends in the middle: " + words;
-    faults_.add({name_, error_line_ + 1, error_column_ + 1, "syntax", words, syntax_form, false});
+    diagnostics_.add({name_, error_line_ + 1, error_column_ + 1, "syntax", words, syntax_form, false});
   }
   void clear() { error_line_ = -1; }
 
  private:
   const std::string& name_;
   const std::string& text_;
-  Faults& faults_;
+  Diagnostics& diagnostics_;
   int error_line_ = -1, error_column_ = 0, unknown_line_ = -1;
   std::string error_;
 };
@@ -218,43 +218,44 @@
 
 }  // namespace
 
-bool is_old_form(const std::string& text) {
+bool is_json_form(const std::string& text) {
   const auto at = text.find_first_not_of(" \t\r\n");
   return at != std::string::npos && text[at] == '{';
 }
 
-std::unique_ptr<SourceFile> parse_source(const std::string& name, const std::string& given, Faults& faults) {
+std::unique_ptr<SourceFile> parse_source_text(const std::string& name, const std::string& given,
+                                              Diagnostics& diagnostics) {
   auto out = std::make_unique<SourceFile>();
   out->name = name;
-  if (is_old_form(given)) {
-    faults.add({name, 1, 1, "syntax",
-                "this is the JSON form of earlier versions; `heathturn config convert " + name +
-                    "` writes the new one",
-                syntax_form, false});
+  if (is_json_form(given)) {
+    diagnostics.add({name, 1, 1, "syntax",
+                     "this is the JSON form of earlier versions; `heathturn config convert " + name +
+                         "` writes the new one",
+                     syntax_form, false});
     return out;
   }
   if (const auto bad = not_utf8(given)) {
     const auto line = std::count(given.begin(), given.begin() + static_cast<std::ptrdiff_t>(*bad), '\n');
     const auto start = line_start(given, static_cast<int>(line));
-    faults.add({name, static_cast<int>(line) + 1, static_cast<int>(*bad - start) + 1, "syntax",
-                "a byte here is no text", "UTF-8 without zero bytes", false});
+    diagnostics.add({name, static_cast<int>(line) + 1, static_cast<int>(*bad - start) + 1, "syntax",
+                     "a byte here is no text", "UTF-8 without zero bytes", false});
     return out;
   }
   // A bare number ends the parser's work. So that one run tells of all of them, each is taken for an empty
   // text in its turn.
   auto text = given;
-  Collector collector(out->name, text, faults);
+  Collector collector(out->name, text, diagnostics);
   for (int mended = 0;; ++mended) {
     out->message.Clear();
-    out->places = std::make_unique<pb::TextFormat::ParseInfoTree>();
+    out->locations = std::make_unique<pb::TextFormat::ParseInfoTree>();
     pb::TextFormat::Parser parser;
     parser.AllowUnknownField(true);
-    parser.SetRecursionLimit(static_cast<int>(most_depth));
+    parser.SetRecursionLimit(static_cast<int>(max_nesting_depth));
     parser.RecordErrorsTo(&collector);
-    parser.WriteLocationsTo(out->places.get());
+    parser.WriteLocationsTo(out->locations.get());
     pb::io::ArrayInputStream in(text.data(), static_cast<int>(text.size()));
     if (parser.Parse(&in, &out->message)) {
-      out->whole = true;
+      out->complete = true;
       break;
     }
     const auto number = mended < most_mends ? collector.bare_number() : std::nullopt;
@@ -269,11 +270,12 @@
   return out;
 }
 
-bool read_source(const std::string& path, std::size_t most, std::string& text, Fault from, Faults& faults) {
+bool read_source_file(const std::string& path, std::size_t most, std::string& text, Diagnostic from,
+                      Diagnostics& diagnostics) {
   const auto refuse = [&](const std::string& why, const std::string& expected) {
-    from.text = path + " " + why;
+    from.message = path + " " + why;
     from.expected = expected;
-    faults.add(from);
+    diagnostics.add(from);
     return false;
   };
   // Opened without waiting: a path may lead to a pipe that nobody writes to.
@@ -305,9 +307,9 @@
 
 class Loader {
  public:
-  explicit Loader(Faults& faults) : faults_(faults) {}
+  explicit Loader(Diagnostics& diagnostics) : diagnostics_(diagnostics) {}
 
-  void load(const std::string& path, const Fault& from) {
+  void load(const std::string& path, const Diagnostic& from) {
     const auto real = real_path(path);
     const auto open = std::find(chain_.begin(), chain_.end(), real);
     if (open != chain_.end()) {
@@ -316,48 +318,49 @@
         words += names_[static_cast<std::size_t>(at)] + " -> ";
       }
       auto fault = from;
-      fault.text = "an include cycle: " + words + path;
+      fault.message = "an include cycle: " + words + path;
       fault.expected = "files that do not lead back to themselves";
       return lacking(std::move(fault));
     }
     if (!seen_.insert(real).second) return;
-    if (seen_.size() > most_files || chain_.size() >= most_depth) {
+    if (seen_.size() > max_files || chain_.size() >= max_nesting_depth) {
       auto fault = from;
-      fault.text = "too many files";
+      fault.message = "too many files";
       fault.expected =
-          "at most " + std::to_string(most_files) + " files, " + std::to_string(most_depth) + " deep";
+          "at most " + std::to_string(max_files) + " files, " + std::to_string(max_nesting_depth) + " deep";
       return lacking(std::move(fault));
     }
     std::string text;
-    if (!read_source(path, std::min(most_file_bytes, most_source_bytes - bytes_), text, from, faults_)) {
-      out_.whole = false;
+    if (!read_source_file(path, std::min(max_file_bytes, max_total_bytes - bytes_), text, from,
+                          diagnostics_)) {
+      out_.complete = false;
       return;
     }
     bytes_ += text.size();
-    auto file = parse_source(path, text, faults_);
+    auto file = parse_source_text(path, text, diagnostics_);
     std::string().swap(text);
     chain_.push_back(real);
     names_.push_back(path);
     const auto* field = file->message.GetDescriptor()->FindFieldByName("include");
     for (int i = 0; i < file->message.include_size(); ++i) {
-      if (file->places == nullptr) break;
-      const auto place = file->places->GetLocation(field, i);
+      if (file->locations == nullptr) break;
+      const auto place = file->locations->GetLocation(field, i);
       load(beside(path, file->message.include(i)),
            {path, place.line + 1, place.column + 1, "include", "", "", false});
     }
     chain_.pop_back();
     names_.pop_back();
-    out_.whole = out_.whole && file->whole;
+    out_.complete = out_.complete && file->complete;
     out_.files.push_back(std::move(file));
   }
   [[nodiscard]] Sources take() { return std::move(out_); }
 
  private:
-  void lacking(Fault fault) {
-    out_.whole = false;
-    faults_.add(std::move(fault));
+  void lacking(Diagnostic fault) {
+    out_.complete = false;
+    diagnostics_.add(std::move(fault));
   }
-  Faults& faults_;
+  Diagnostics& diagnostics_;
   std::vector<std::string> chain_, names_;
   std::set<std::string> seen_;
   Sources out_;
@@ -366,8 +369,8 @@
 
 }  // namespace
 
-Sources load_sources(const std::string& path, Faults& faults) {
-  Loader loader(faults);
+Sources load_sources(const std::string& path, Diagnostics& diagnostics) {
+  Loader loader(diagnostics);
   loader.load(path, {path, 0, 0, "file", "", "", false});
   return loader.take();
 }
--- a/src/config/units.cpp
+++ b/src/config/units.cpp
@@ -24,7 +24,7 @@
                                           {"GB", 1e9}}};
 constexpr std::array<Unit, 3> rate_units{{{"/s", 1}, {"/m", 1.0 / 60}, {"/h", 1.0 / 3600}}};
 constexpr std::array<std::string_view, 7> days = {"Mon", "Tue", "Wed", "Thu", "Fri", "Sat", "Sun"};
-constexpr int minutes_a_day = 24 * 60;
+constexpr int minutes_per_day = 24 * 60;
 
 template <typename Value>
 Parsed<Value> wrong(std::string fault) {
@@ -80,7 +80,7 @@
     return std::nullopt;
   const int hours = (text[0] - '0') * 10 + (text[1] - '0');
   const int minutes = (text[3] - '0') * 10 + (text[4] - '0');
-  if (minutes > 59 || hours * 60 + minutes > minutes_a_day) return std::nullopt;
+  if (minutes > 59 || hours * 60 + minutes > minutes_per_day) return std::nullopt;
   return hours * 60 + minutes;
 }
 
@@ -90,7 +90,7 @@
 
 /// "Mon-Fri 08:00-18:00", "Sat", "22:00-06:00" (each day); a time up to an earlier one ends on the next day.
 std::string take_spans(std::string_view part, std::vector<WeekSpan>& out) {
-  int first = 0, last = 6, from = 0, to = minutes_a_day;
+  int first = 0, last = 6, from = 0, to = minutes_per_day;
   auto rest = part;
   if (const auto word = next_part(rest, ' ');
       !word.empty() && !(word.front() >= '0' && word.front() <= '9')) {
@@ -108,19 +108,19 @@
     auto ends = rest;
     const auto begin = clock_of(next_part(ends, '-'));
     const auto end = clock_of(ends);
-    if (!begin || !end || *begin == *end || *begin == minutes_a_day) {
+    if (!begin || !end || *begin == *end || *begin == minutes_per_day) {
       return "has the unusable time \"" + std::string(rest) + "\"";
     }
     from = *begin;
     to = *end;
   }
   for (int day = first;; day = (day + 1) % 7) {
-    const int start = day * minutes_a_day;
+    const int start = day * minutes_per_day;
     if (to > from) {
       add_span(out, start + from, start + to);
     } else {
-      const int next = (day + 1) % 7 * minutes_a_day;
-      add_span(out, start + from, start + minutes_a_day);
+      const int next = (day + 1) % 7 * minutes_per_day;
+      add_span(out, start + from, start + minutes_per_day);
       if (to > 0) add_span(out, next, next + to);
     }
     if (day == last) break;
@@ -136,11 +136,11 @@
 
 }  // namespace
 
-Parsed<double> duration(const std::string& text) { return with_unit(text, duration_units); }
-Parsed<double> size(const std::string& text) { return with_unit(text, size_units); }
-Parsed<double> rate(const std::string& text) { return with_unit(text, rate_units); }
+Parsed<double> parse_duration(const std::string& text) { return with_unit(text, duration_units); }
+Parsed<double> parse_size(const std::string& text) { return with_unit(text, size_units); }
+Parsed<double> parse_rate(const std::string& text) { return with_unit(text, rate_units); }
 
-Parsed<double> share(const std::string& text) {
+Parsed<double> parse_share(const std::string& text) {
   if (!text.empty() && text.front() == '-') return wrong<double>("is negative");
   const auto parts = leading_number(text);
   if (!parts || (!parts->second.empty() && parts->second != "%")) return wrong<double>("is no share");
@@ -152,7 +152,7 @@
   return {value, ""};
 }
 
-std::vector<WeekSpan> joined(std::vector<WeekSpan> spans) {
+std::vector<WeekSpan> merge_overlapping(std::vector<WeekSpan> spans) {
   std::sort(spans.begin(), spans.end());
   std::vector<WeekSpan> out;
   for (const auto& span : spans) {
@@ -165,7 +165,7 @@
   return out;
 }
 
-Parsed<std::vector<WeekSpan>> week_spans(const std::string& text) {
+Parsed<std::vector<WeekSpan>> parse_week_spans(const std::string& text) {
   std::vector<WeekSpan> spans;
   std::string_view rest = text;
   do {
@@ -175,17 +175,17 @@
       return wrong<std::vector<WeekSpan>>(std::move(fault));
     }
   } while (!rest.empty());
-  return {joined(std::move(spans)), ""};
+  return {merge_overlapping(std::move(spans)), ""};
 }
 
 std::string week_text(const std::vector<WeekSpan>& spans) {
   std::string out;
   for (const auto& span : spans) {
     for (int at = span.from; at < span.to;) {
-      const int day = at / minutes_a_day, start = day * minutes_a_day;
-      const int end = std::min<int>(span.to, start + minutes_a_day);
+      const int day = at / minutes_per_day, start = day * minutes_per_day;
+      const int end = std::min<int>(span.to, start + minutes_per_day);
       out += (out.empty() ? "" : ", ") + std::string(days[static_cast<std::size_t>(day)]);
-      if (at != start || end != start + minutes_a_day)
+      if (at != start || end != start + minutes_per_day)
         out += " " + clock_text(at - start) + "-" + clock_text(end - start);
       at = end;
     }
@@ -193,7 +193,7 @@
   return out;
 }
 
-Parsed<TimeZone> time_zone(const std::string& text) {
+Parsed<TimeZone> parse_time_zone(const std::string& text) {
   if (text == "utc") return {TimeZone{}, ""};
   if (text == "local") return {TimeZone{true, 0}, ""};
   if (text.size() == 6 && (text[0] == '+' || text[0] == '-')) {
@@ -203,7 +203,7 @@
   return wrong<TimeZone>("is no time zone");
 }
 
-std::string zone_text(const TimeZone& zone) {
+std::string time_zone_text(const TimeZone& zone) {
   if (zone.local) return "local";
   if (zone.offset_minutes == 0) return "utc";
   return (zone.offset_minutes < 0 ? "-" : "+") + clock_text(std::abs(zone.offset_minutes));
@@ -215,12 +215,12 @@
     std::tm parts{};
     localtime_r(&seconds, &parts);
     const int day = (parts.tm_wday + 6) % 7;
-    return static_cast<std::uint16_t>(day * minutes_a_day + parts.tm_hour * 60 + parts.tm_min);
+    return static_cast<std::uint16_t>(day * minutes_per_day + parts.tm_hour * 60 + parts.tm_min);
   }
   // The epoch was a Thursday.
   const auto minutes = static_cast<std::int64_t>(std::floor(static_cast<double>(seconds) / 60)) +
-                       zone.offset_minutes + 3 * minutes_a_day;
-  return static_cast<std::uint16_t>(((minutes % minutes_a_week) + minutes_a_week) % minutes_a_week);
+                       zone.offset_minutes + 3 * minutes_per_day;
+  return static_cast<std::uint16_t>(((minutes % minutes_per_week) + minutes_per_week) % minutes_per_week);
 }
 
 std::string number_text(double number) {
--- a/src/config_commands.cpp
+++ b/src/config_commands.cpp
@@ -19,21 +19,21 @@
 
 constexpr int in_order = 0, has_faults = 1, not_done = 2;
 
-void print(FILE* to, const Faults& faults) {
-  for (const auto& each : faults.all()) std::fprintf(to, "%s\n", each.line_text().c_str());
-  if (faults.left_out() > 0) std::fprintf(to, "and %zu more\n", faults.left_out());
+void print(FILE* to, const Diagnostics& diagnostics) {
+  for (const auto& each : diagnostics.all()) std::fprintf(to, "%s\n", each.to_text().c_str());
+  if (diagnostics.omitted_count() > 0) std::fprintf(to, "and %zu more\n", diagnostics.omitted_count());
 }
 
 /// The files that TLS needs, as a start of the program would find them.
-void check_tls(const EnumConfig& config, Faults& faults) {
+void check_tls(const EnumConfig& config, Diagnostics& diagnostics) {
   const auto check = [&](const std::string& key, const std::optional<tls::TlsConfig>& set,
                          const SourceLocation& location) {
     if (!set) return;
     try {
       const tls::Context context(*set, Clock().now_ms());
     } catch (const std::exception& error) {
-      faults.add({config.files[location.file], static_cast<int>(location.line),
-                  static_cast<int>(location.column), key, error.what(), "", false});
+      diagnostics.add({config.files[location.file], static_cast<int>(location.line),
+                       static_cast<int>(location.column), key, error.what(), "", false});
     }
   };
   for (const auto& pool : config.pools) check("pool." + pool.name + ".tls", pool.tls, pool.location);
@@ -43,11 +43,11 @@
 int check(const std::vector<std::string>& files, const std::string& platform, bool strict) {
   int status = in_order;
   for (const auto& file : files) {
-    Faults faults;
-    const auto config = read_site(file, faults);
-    if (!faults.any_error()) check_tls(config, faults);
-    print(stdout, faults);
-    if (faults.any_error() || (strict && !faults.all().empty())) {
+    Diagnostics diagnostics;
+    const auto config = read_site(file, diagnostics);
+    if (!diagnostics.has_errors()) check_tls(config, diagnostics);
+    print(stdout, diagnostics);
+    if (diagnostics.has_errors() || (strict && !diagnostics.all().empty())) {
       status = has_faults;
     } else {
       std::printf("%s: in order, %zu pools, %zu policies, %zu routes\n", file.c_str(), config.pools.size(),
@@ -66,15 +66,15 @@
 }
 
 int format(const std::string& file, bool only_check, bool write) {
-  Faults faults;
+  Diagnostics diagnostics;
   std::string text;
-  if (!read_source(file, most_file_bytes, text, {file, 0, 0, "file", "", "", false}, faults)) {
-    print(stderr, faults);
+  if (!read_source_file(file, max_file_bytes, text, {file, 0, 0, "file", "", "", false}, diagnostics)) {
+    print(stderr, diagnostics);
     return not_done;
   }
-  const auto formatted = format_source(file, text, faults);
+  const auto formatted = format_source(file, text, diagnostics);
   if (!formatted) {
-    print(stderr, faults);
+    print(stderr, diagnostics);
     return not_done;
   }
   if (only_check) {
@@ -93,10 +93,10 @@
 
 /// False, with the faults told, when the file is of no use.
 bool load(const std::string& file, EnumConfig& config, std::vector<ResolvedSetting>* notes = nullptr) {
-  Faults faults;
-  config = read_site(file, faults, notes);
-  if (!faults.any_error()) return true;
-  print(stderr, faults);
+  Diagnostics diagnostics;
+  config = read_site(file, diagnostics, notes);
+  if (!diagnostics.has_errors()) return true;
+  print(stderr, diagnostics);
   return false;
 }
 
@@ -109,21 +109,21 @@
     std::printf("%s\n", to_json(difference).c_str());
   } else {
     for (const auto& each : difference.changes) {
-      std::printf("%s%s\n", each.text.c_str(), each.restart ? " (takes a restart)" : "");
+      std::printf("%s%s\n", each.text.c_str(), each.needs_restart ? " (takes a restart)" : "");
     }
     if (const auto summary = difference.summary(); !summary.empty()) std::printf("%s\n", summary.c_str());
   }
   return difference.changes.empty() ? in_order : has_faults;
 }
 
-int show(const std::string& file, const Question& question, const std::string& at) {
+int show(const std::string& file, const NumberQuery& question, const std::string& at) {
   EnumConfig config;
   std::vector<ResolvedSetting> notes;
   if (!load(file, config, question.number.empty() ? &notes : nullptr)) return not_done;
   auto asked = question;
   if (!at.empty()) {
     // A moment is written as a span of times is, without its end.
-    const auto spans = units::week_spans(at + "-24:00");
+    const auto spans = units::parse_week_spans(at + "-24:00");
     if (!spans.value || spans.value->size() != 1) {
       throw maddershed::InputError("--at: \"" + at +
                                    "\" is no moment of the week; expected one such as \"Mon 09:30\"");
@@ -148,7 +148,7 @@
 struct Words {
   std::vector<std::string> files;
   std::string file, other, platform, out, at;
-  Question question;
+  NumberQuery question;
   bool strict = false, only_check = false, write = false, json = false;
 };
 
--- a/src/enum/enum_service.cpp
+++ b/src/enum/enum_service.cpp
@@ -118,7 +118,7 @@
       load->config = std::make_shared<const EnumConfig>(load_site(path));
       load->difference = diff_sites(*previous, *load->config);
       for (const auto& change : load->difference.changes) {
-        if (change.restart)
+        if (change.needs_restart)
           throw InputError(change.text +
                            "; this change requires a restart, so nothing in the file was applied");
       }
--- a/src/net/tls/context.cpp
+++ b/src/net/tls/context.cpp
@@ -53,9 +53,9 @@
 };
 
 void read_pem(const std::string& path, std::string& text) {
-  Faults faults;
-  if (!read_source(path, most_pem, text, {path, 0, 0, "tls", "", "", false}, faults)) {
-    throw InputError(faults.all().front().text + "; expected a PEM file");
+  Diagnostics diagnostics;
+  if (!read_source_file(path, most_pem, text, {path, 0, 0, "tls", "", "", false}, diagnostics)) {
+    throw InputError(diagnostics.all().front().message + "; expected a PEM file");
   }
 }
 
--- a/tests/router/config_test.cpp
+++ b/tests/router/config_test.cpp
@@ -57,38 +57,38 @@
 // ---- Units ----------------------------------------------------------------------------------------------
 
 TEST_CASE("durations, shares, sizes and rates have units, and say so") {
-  CHECK(*units::duration("300ms").value == 300);
-  CHECK(*units::duration("1.5s").value == 1500);
-  CHECK(*units::duration("2m").value == 120000);
-  CHECK(*units::duration("1h").value == 3600000);
-  CHECK(*units::duration("250us").value == 0.25);
-  CHECK(units::duration("300").fault == "has no unit");
-  CHECK(units::duration("").fault == "is no number with a unit");
-  CHECK(units::duration("-1s").fault == "is negative");
-  CHECK(units::duration("1 s").fault == "has the unknown unit \" s\"");
-  CHECK(units::duration("1e3s").fault == "has the unknown unit \"e3s\"");
-  CHECK(units::duration("infs").fault == "is no number with a unit");
-  CHECK(*units::share("35%").value == Approx(0.35));
-  CHECK(*units::share("0.35").value == Approx(0.35));
-  CHECK(units::share("35").fault == "is above 1 and has no %");
-  CHECK(units::share("101%").fault == "is above 100%");
-  CHECK(*units::size("64KiB").value == 65536);
-  CHECK(*units::size("2MB").value == 2e6);
-  CHECK(units::size("64k").fault == "has the unknown unit \"k\"");
-  CHECK(*units::rate("30/m").value == Approx(0.5));
-  CHECK(units::rate("30").fault == "has no unit");
+  CHECK(*units::parse_duration("300ms").value == 300);
+  CHECK(*units::parse_duration("1.5s").value == 1500);
+  CHECK(*units::parse_duration("2m").value == 120000);
+  CHECK(*units::parse_duration("1h").value == 3600000);
+  CHECK(*units::parse_duration("250us").value == 0.25);
+  CHECK(units::parse_duration("300").error == "has no unit");
+  CHECK(units::parse_duration("").error == "is no number with a unit");
+  CHECK(units::parse_duration("-1s").error == "is negative");
+  CHECK(units::parse_duration("1 s").error == "has the unknown unit \" s\"");
+  CHECK(units::parse_duration("1e3s").error == "has the unknown unit \"e3s\"");
+  CHECK(units::parse_duration("infs").error == "is no number with a unit");
+  CHECK(*units::parse_share("35%").value == Approx(0.35));
+  CHECK(*units::parse_share("0.35").value == Approx(0.35));
+  CHECK(units::parse_share("35").error == "is above 1 and has no %");
+  CHECK(units::parse_share("101%").error == "is above 100%");
+  CHECK(*units::parse_size("64KiB").value == 65536);
+  CHECK(*units::parse_size("2MB").value == 2e6);
+  CHECK(units::parse_size("64k").error == "has the unknown unit \"k\"");
+  CHECK(*units::parse_rate("30/m").value == Approx(0.5));
+  CHECK(units::parse_rate("30").error == "has no unit");
   for (const char* each : {"300ms", "1.5s", "90s", "2m", "0.25ms", "1.25s"}) {
-    CHECK(*units::duration(units::duration_text(*units::duration(each).value)).value ==
-          *units::duration(each).value);
+    CHECK(*units::parse_duration(units::duration_text(*units::parse_duration(each).value)).value ==
+          *units::parse_duration(each).value);
   }
-  CHECK(units::rate_text(*units::rate("30/m").value) == "30/m");
-  CHECK(units::rate_text(*units::rate("7/h").value) == "7/h");
+  CHECK(units::rate_text(*units::parse_rate("30/m").value) == "30/m");
+  CHECK(units::rate_text(*units::parse_rate("7/h").value) == "7/h");
 }
 
 TEST_CASE("times of the week: over midnight, over Sunday, and written back the same") {
   const auto text = [](const char* given) {
-    const auto spans = units::week_spans(given);
-    return spans.value ? units::week_text(*spans.value) : "fault: " + spans.fault;
+    const auto spans = units::parse_week_spans(given);
+    return spans.value ? units::week_text(*spans.value) : "fault: " + spans.error;
   };
   CHECK(text("Mon-Tue 08:00-18:00") == "Mon 08:00-18:00, Tue 08:00-18:00");
   CHECK(text("Sun 22:00-06:00") == "Mon 00:00-06:00, Sun 22:00-24:00");
@@ -108,7 +108,7 @@
       at = static_cast<std::uint16_t>(from + 1 + random() % 1000);
       spans.push_back({from, at});
     }
-    RC_ASSERT(*units::week_spans(units::week_text(spans)).value == spans);
+    RC_ASSERT(*units::parse_week_spans(units::week_text(spans)).value == spans);
   });
 }
 
@@ -127,26 +127,26 @@
     std::string first;
     std::getline(in, first);
     REQUIRE(first.starts_with("# expect "));
-    Faults faults;
-    (void)read_site(path, faults);
+    Diagnostics diagnostics;
+    (void)read_site(path, diagnostics);
     std::string told;
-    for (const auto& each : faults.all()) told += (told.empty() ? "" : "\n") + each.line_text();
+    for (const auto& each : diagnostics.all()) told += (told.empty() ? "" : "\n") + each.to_text();
     // Places in other files of the corpus are told by their whole path.
     for (auto at = told.find(folder.string() + "/"); at != std::string::npos;
          at = told.find(folder.string() + "/")) {
       told.erase(at, folder.string().size() + 1);
     }
     CHECK(told == first.substr(9));
-    CHECK(faults.all().size() == 1);
+    CHECK(diagnostics.all().size() == 1);
   }
   CHECK(files >= 60);
 }
 
 std::string only_fault(const std::string& path) {
-  Faults faults;
-  (void)read_site(path, faults);
-  REQUIRE(faults.all().size() == 1);
-  return faults.all().front().line_text();
+  Diagnostics diagnostics;
+  (void)read_site(path, diagnostics);
+  REQUIRE(diagnostics.all().size() == 1);
+  return diagnostics.all().front().to_text();
 }
 
 TEST_CASE("an include cycle through three files names the whole chain; a file read by two ways counts once") {
@@ -186,9 +186,9 @@
   std::size_t told = 0;
   for (std::size_t length = 0; length < text.size(); length += 7) {
     const auto path = folder.write("cut", text.substr(0, length));
-    Faults faults;
-    (void)read_site(path, faults);
-    if (faults.any_error()) ++told;
+    Diagnostics diagnostics;
+    (void)read_site(path, diagnostics);
+    if (diagnostics.has_errors()) ++told;
   }
   CHECK(told > text.size() / 7 / 2);
 }
@@ -231,7 +231,7 @@
   const auto converted = (folder.path / "site.textproto").string();
   CHECK(run({"config", "convert", old, "--out", converted}).status == 0);
   const auto difference = diff_sites(load_site(converted), load_site(HEATHTURN_SITE_FILE));
-  CHECK(difference.moved == 0);
+  CHECK(difference.moved_prefix_count == 0);
   for (const auto& each : difference.changes) {
     CHECK((each.kind == "policy" || each.text == "numbers 649: policy quick, was within-1.5s"));
   }
@@ -311,18 +311,18 @@
   PROPERTY("generated files", [](unsigned seed) {
     std::mt19937 random(seed);
     const auto text = random_site(random);
-    Faults faults;
-    const auto once = format_source("x", text, faults);
+    Diagnostics diagnostics;
+    const auto once = format_source("x", text, diagnostics);
     RC_ASSERT(once.has_value());
-    const auto twice = format_source("x", *once, faults);
+    const auto twice = format_source("x", *once, diagnostics);
     RC_ASSERT(twice == once);
     RC_ASSERT(comments_of(*once) == comments_of(text));
     const TempFile before(text), after(*once);
     RC_ASSERT(diff_sites(load_site(before.path()), load_site(after.path())).changes.empty());
   });
-  Faults faults;
+  Diagnostics diagnostics;
   const auto example = read_file(HEATHTURN_SITE_FILE);
-  CHECK(format_source("x", example, faults) == example);
+  CHECK(format_source("x", example, diagnostics) == example);
 }
 
 TEST_CASE("fmt writes in one step, keeps the mode, and says by its status what it found") {
--- a/tests/router/routes_test.cpp
+++ b/tests/router/routes_test.cpp
@@ -149,7 +149,7 @@
   CHECK(table.class_of("641", no_index) == 0);
   CHECK(table.class_of("641", matai) == 1);
   const auto route = [&](const char* number, std::uint32_t tenant, const char* time) {
-    const auto minute = units::week_spans(std::string(time) + "-24:00").value->front().from;
+    const auto minute = units::parse_week_spans(std::string(time) + "-24:00").value->front().from;
     const auto* found = table.find({number, table.class_of(number, tenant), tenant, minute});
     return found == nullptr ? -1 : static_cast<int>(found - config->routes.data());
   };
@@ -167,7 +167,7 @@
   CHECK(route("", no_index, "Mon 12:00") == -1);
   // 2026-12-01 was a Tuesday; 11:30 UTC is 23:30 at +12:00.
   const double time_ms = 1796124600000.0;
-  CHECK(units::week_text({{units::minute_of_week(time_ms, config->time_zone), units::minutes_a_week}})
+  CHECK(units::week_text({{units::minute_of_week(time_ms, config->time_zone), units::minutes_per_week}})
             .starts_with("Tue 23:30"));
 }
 
