--- a/src/config/diagnostics.cpp
+++ b/src/config/diagnostics.cpp
@@ -6,9 +6,10 @@
 namespace heathturn {
 namespace {
 
-constexpr std::size_t max_diagnostics = 1000;
+constexpr std::size_t max_diagnostics = 1000;  // kept; more are only counted
 
-std::string joined(const Diagnostics& diagnostics) {
+/// The errors, one a line.
+std::string errors_text(const Diagnostics& diagnostics) {
   std::string out;
   for (const auto& each : diagnostics.all()) {
     if (each.is_warning) continue;
@@ -33,10 +34,10 @@
 }
 
 void Diagnostics::add(Diagnostic diagnostic) {
-  // A value that is wrong in itself is not told of again by what depends on it.
+  // An invalid value is reported once, not again by the checks that depend on it.
   const auto dot = diagnostic.key.rfind('.');
-  const auto last = dot == std::string::npos ? diagnostic.key : diagnostic.key.substr(dot + 1);
-  if (!seen_.insert({diagnostic.file, diagnostic.line, last}).second) return;
+  const auto field = dot == std::string::npos ? diagnostic.key : diagnostic.key.substr(dot + 1);
+  if (!seen_.insert({diagnostic.file, diagnostic.line, field}).second) return;
   if (!diagnostic.is_warning) ++error_count_;
   if (diagnostics_.size() >= max_diagnostics) {
     ++omitted_count_;
@@ -55,6 +56,6 @@
                    });
 }
 
-ConfigError::ConfigError(const Diagnostics& diagnostics) : InputError(joined(diagnostics)) {}
+ConfigError::ConfigError(const Diagnostics& diagnostics) : InputError(errors_text(diagnostics)) {}
 
 }  // namespace heathturn
--- a/src/config/formatter.hpp
+++ b/src/config/formatter.hpp
@@ -1,4 +1,4 @@
-// The one layout of the operator's files. Every comment stays, and a formatted file stays as it is.
+// Formats the operator's files. All comments are kept, and formatting a formatted file changes nothing.
 #pragma once
 
 #include <optional>
@@ -8,13 +8,13 @@
 
 namespace heathturn {
 
-/// The text in its layout; nothing, and the faults, when it cannot be read. What the text means is the same
-/// before and after: that is checked here, on the parsed messages.
+/// Returns the formatted text, or nothing and diagnostics when the text cannot be parsed. Invariant, checked
+/// here on the parsed messages: the text has the same meaning before and after.
 [[nodiscard]] std::optional<std::string> format_source(const std::string& name, const std::string& text,
                                                        Diagnostics& diagnostics);
 
-/// Writes a file in one step: whoever reads it meanwhile has the old text or the new one. Keeps the file's
-/// mode, and the file that a link leads to. Throws std::runtime_error.
+/// Replaces a file atomically: a concurrent reader sees either the old or the new text. Keeps the file's
+/// mode, and replaces the target of a symbolic link. Throws std::runtime_error.
 void replace_file(const std::string& path, const std::string& text);
 
 }  // namespace heathturn
--- a/src/config/sources.hpp
+++ b/src/config/sources.hpp
@@ -1,4 +1,4 @@
-// The operator's files as they are read: protobuf text format with includes, each value with its place.
+// Loads the operator's files: protobuf text format with includes, each value with its location.
 #pragma once
 
 #include <google/protobuf/text_format.h>
@@ -13,34 +13,36 @@
 
 namespace heathturn {
 
-/// One file, parsed.
+/// A parsed file.
 struct SourceFile {
-  std::string name;  ///< as the operator would name it
+  std::string name;  ///< path as the operator would write it
   config::v1::Site message;
   std::unique_ptr<google::protobuf::TextFormat::ParseInfoTree> locations;
-  bool complete = false;  ///< read to its end; what it lacks else may stand in the rest
+  bool complete = false;  ///< parsed to its end; otherwise fields that seem to be missing may be in the rest
 };
 
+/// A file and everything that it includes.
 struct Sources {
-  std::vector<std::unique_ptr<SourceFile>> files;  ///< in the order in which they count
-  bool complete = true;                            ///< every file could be had and was read to its end
+  std::vector<std::unique_ptr<SourceFile>>
+      files;             ///< in the order in which they apply; the main file is last
+  bool complete = true;  ///< every file was found and parsed to its end
 };
 
-/// Bytes of one file, and of all read together.
+/// Largest size of one file, and of all files together.
 inline constexpr std::size_t max_file_bytes = std::size_t{32} << 20;
 inline constexpr std::size_t max_total_bytes = std::size_t{64} << 20;
 
-/// What a text of a file holds, without its includes; faults go to `diagnostics`, and what could be read is
-/// kept.
+/// Parses the text of one file, without its includes. After an error the result has what was parsed so far.
 [[nodiscard]] std::unique_ptr<SourceFile> parse_source_text(const std::string& name, const std::string& text,
                                                             Diagnostics& diagnostics);
-/// A regular file's text; nothing, and a fault at `from`, when it cannot be had or is too large to be read.
-[[nodiscard]] bool read_source_file(const std::string& path, std::size_t most, std::string& text,
-                                    Diagnostic from, Diagnostics& diagnostics);
-/// The file and all that it includes, each once.
+/// Reads a regular file of up to `max_bytes` bytes into `text`. On failure returns false and adds a
+/// diagnostic: a copy of `reported_as`, which has the location and the key, with the message filled in.
+[[nodiscard]] bool read_source_file(const std::string& path, std::size_t max_bytes, std::string& text,
+                                    Diagnostic reported_as, Diagnostics& diagnostics);
+/// Loads the file and everything that it includes, each file once.
 [[nodiscard]] Sources load_sources(const std::string& path, Diagnostics& diagnostics);
 
-/// The text begins as the JSON form of earlier versions did.
+/// Whether the text begins like the JSON form of earlier versions (0.3 and before).
 [[nodiscard]] bool is_json_form(const std::string& text);
 
 }  // namespace heathturn
--- a/src/config/units.cpp
+++ b/src/config/units.cpp
@@ -14,6 +14,7 @@
   std::string_view name;
   double factor;
 };
+/// Factors to the unit that the parsers return: ms, bytes and per second.
 constexpr std::array<Unit, 5> duration_units{{{"us", 1e-3}, {"ms", 1}, {"s", 1e3}, {"m", 6e4}, {"h", 3.6e6}}};
 constexpr std::array<Unit, 7> size_units{{{"B", 1},
                                           {"KiB", 1024.0},
@@ -27,11 +28,11 @@
 constexpr int minutes_per_day = 24 * 60;
 
 template <typename Value>
-Parsed<Value> wrong(std::string fault) {
-  return {std::nullopt, std::move(fault)};
+Parsed<Value> invalid(std::string error) {
+  return {std::nullopt, std::move(error)};
 }
 
-/// A number without a sign, and the text behind it.
+/// Splits a text into the unsigned number that it begins with and the rest.
 std::optional<std::pair<double, std::string_view>> leading_number(std::string_view text) {
   if (text.empty() || !(text.front() >= '0' && text.front() <= '9')) return std::nullopt;
   double value = 0;
@@ -42,25 +43,25 @@
 }
 
 template <std::size_t count>
-Parsed<double> with_unit(const std::string& text, const std::array<Unit, count>& units) {
-  if (!text.empty() && text.front() == '-') return wrong<double>("is negative");
+Parsed<double> parse_with_unit(const std::string& text, const std::array<Unit, count>& units) {
+  if (!text.empty() && text.front() == '-') return invalid<double>("is negative");
   const auto parts = leading_number(text);
-  if (!parts) return wrong<double>("is no number with a unit");
+  if (!parts) return invalid<double>("is not a number with a unit");
   const auto [value, unit] = *parts;
-  if (unit.empty()) return wrong<double>("has no unit");
+  if (unit.empty()) return invalid<double>("has no unit");
   for (const auto& each : units) {
     if (each.name == unit) return {value * each.factor, ""};
   }
-  return wrong<double>("has the unknown unit \"" + std::string(unit) + "\"");
+  return invalid<double>("has the unknown unit \"" + std::string(unit) + "\"");
 }
 
-std::string_view trimmed(std::string_view text) {
+std::string_view trim_spaces(std::string_view text) {
   while (!text.empty() && text.front() == ' ') text.remove_prefix(1);
   while (!text.empty() && text.back() == ' ') text.remove_suffix(1);
   return text;
 }
 
-/// Cuts off and returns what stands before the separator; all of it when there is none.
+/// Removes and returns the text before the separator, or all of it when there is no separator.
 std::string_view next_part(std::string_view& text, char separator) {
   const auto at = std::min(text.find(separator), text.size());
   const auto part = text.substr(0, at);
@@ -68,13 +69,14 @@
   return part;
 }
 
-std::optional<int> day_of(std::string_view text) {
+/// Index of a day name, from 0 for Monday.
+std::optional<int> parse_day(std::string_view text) {
   const auto it = std::find(days.begin(), days.end(), text);
   return it == days.end() ? std::nullopt : std::optional(static_cast<int>(it - days.begin()));
 }
 
-/// "08:30" in minutes; up to "24:00".
-std::optional<int> clock_of(std::string_view text) {
+/// Parses "HH:MM", up to "24:00", into minutes of the day.
+std::optional<int> parse_clock_time(std::string_view text) {
   const auto digit = [&text](std::size_t at) { return text[at] >= '0' && text[at] <= '9'; };
   if (text.size() != 5 || text[2] != ':' || !digit(0) || !digit(1) || !digit(3) || !digit(4))
     return std::nullopt;
@@ -88,28 +90,29 @@
   out.push_back({static_cast<std::uint16_t>(from), static_cast<std::uint16_t>(to)});
 }
 
-/// "Mon-Fri 08:00-18:00", "Sat", "22:00-06:00" (each day); a time up to an earlier one ends on the next day.
-std::string take_spans(std::string_view part, std::vector<WeekSpan>& out) {
+/// Parses one part, such as "Mon-Fri 08:00-18:00", "Sat" or "22:00-06:00" (every day), and appends its spans.
+/// A span whose end is before its start ends on the next day. Returns the error, empty if there is none.
+std::string parse_part(std::string_view part, std::vector<WeekSpan>& out) {
   int first = 0, last = 6, from = 0, to = minutes_per_day;
   auto rest = part;
   if (const auto word = next_part(rest, ' ');
       !word.empty() && !(word.front() >= '0' && word.front() <= '9')) {
     auto ends = word;
-    const auto begin = day_of(next_part(ends, '-'));
-    const auto end = ends.empty() ? begin : day_of(ends);
+    const auto begin = parse_day(next_part(ends, '-'));
+    const auto end = ends.empty() ? begin : parse_day(ends);
     if (!begin || !end) return "has the unknown day \"" + std::string(word) + "\"";
     first = *begin;
     last = *end;
-    rest = trimmed(rest);
+    rest = trim_spaces(rest);
   } else {
     rest = part;
   }
   if (!rest.empty()) {
     auto ends = rest;
-    const auto begin = clock_of(next_part(ends, '-'));
-    const auto end = clock_of(ends);
+    const auto begin = parse_clock_time(next_part(ends, '-'));
+    const auto end = parse_clock_time(ends);
     if (!begin || !end || *begin == *end || *begin == minutes_per_day) {
-      return "has the unusable time \"" + std::string(rest) + "\"";
+      return "has the invalid time \"" + std::string(rest) + "\"";
     }
     from = *begin;
     to = *end;
@@ -128,6 +131,7 @@
   return "";
 }
 
+/// Formats minutes of the day as "HH:MM".
 std::string clock_text(int minute) {
   std::array<char, 8> out{};
   std::snprintf(out.data(), out.size(), "%02d:%02d", minute / 60 % 100, minute % 60);
@@ -136,19 +140,20 @@
 
 }  // namespace
 
-Parsed<double> parse_duration(const std::string& text) { return with_unit(text, duration_units); }
-Parsed<double> parse_size(const std::string& text) { return with_unit(text, size_units); }
-Parsed<double> parse_rate(const std::string& text) { return with_unit(text, rate_units); }
+Parsed<double> parse_duration(const std::string& text) { return parse_with_unit(text, duration_units); }
+Parsed<double> parse_size(const std::string& text) { return parse_with_unit(text, size_units); }
+Parsed<double> parse_rate(const std::string& text) { return parse_with_unit(text, rate_units); }
 
 Parsed<double> parse_share(const std::string& text) {
-  if (!text.empty() && text.front() == '-') return wrong<double>("is negative");
+  if (!text.empty() && text.front() == '-') return invalid<double>("is negative");
   const auto parts = leading_number(text);
-  if (!parts || (!parts->second.empty() && parts->second != "%")) return wrong<double>("is no share");
+  if (!parts || (!parts->second.empty() && parts->second != "%"))
+    return invalid<double>("is not a share");
   const bool percent = !parts->second.empty();
-  // "35" may be meant as 35% or as 35 times the whole.
-  if (!percent && parts->first > 1) return wrong<double>("is above 1 and has no %");
+  // "35" is ambiguous: 35% or 35 times the whole.
+  if (!percent && parts->first > 1) return invalid<double>("is above 1 and has no %");
   const double value = percent ? parts->first / 100 : parts->first;
-  if (value > 1) return wrong<double>("is above 100%");
+  if (value > 1) return invalid<double>("is above 100%");
   return {value, ""};
 }
 
@@ -169,10 +174,10 @@
   std::vector<WeekSpan> spans;
   std::string_view rest = text;
   do {
-    const auto part = trimmed(next_part(rest, ','));
-    if (part.empty()) return wrong<std::vector<WeekSpan>>("has an empty part");
-    if (auto fault = take_spans(part, spans); !fault.empty()) {
-      return wrong<std::vector<WeekSpan>>(std::move(fault));
+    const auto part = trim_spaces(next_part(rest, ','));
+    if (part.empty()) return invalid<std::vector<WeekSpan>>("has an empty part");
+    if (auto error = parse_part(part, spans); !error.empty()) {
+      return invalid<std::vector<WeekSpan>>(std::move(error));
     }
   } while (!rest.empty());
   return {merge_overlapping(std::move(spans)), ""};
@@ -197,10 +202,10 @@
   if (text == "utc") return {TimeZone{}, ""};
   if (text == "local") return {TimeZone{true, 0}, ""};
   if (text.size() == 6 && (text[0] == '+' || text[0] == '-')) {
-    const auto minutes = clock_of(std::string_view(text).substr(1));
+    const auto minutes = parse_clock_time(std::string_view(text).substr(1));
     if (minutes && *minutes <= 14 * 60) return {TimeZone{false, text[0] == '-' ? -*minutes : *minutes}, ""};
   }
-  return wrong<TimeZone>("is no time zone");
+  return invalid<TimeZone>("is not a time zone");
 }
 
 std::string time_zone_text(const TimeZone& zone) {
@@ -217,7 +222,7 @@
     const int day = (parts.tm_wday + 6) % 7;
     return static_cast<std::uint16_t>(day * minutes_per_day + parts.tm_hour * 60 + parts.tm_min);
   }
-  // The epoch was a Thursday.
+  // The Unix epoch was a Thursday, three days after the start of a week.
   const auto minutes = static_cast<std::int64_t>(std::floor(static_cast<double>(seconds) / 60)) +
                        zone.offset_minutes + 3 * minutes_per_day;
   return static_cast<std::uint16_t>(((minutes % minutes_per_week) + minutes_per_week) % minutes_per_week);
@@ -232,8 +237,8 @@
 }
 
 std::string duration_text(double ms) {
-  constexpr std::array<Unit, 3> shown{{{"m", 6e4}, {"s", 1e3}, {"ms", 1}}};
-  for (const auto& unit : shown) {
+  constexpr std::array<Unit, 3> display_units{{{"m", 6e4}, {"s", 1e3}, {"ms", 1}}};
+  for (const auto& unit : display_units) {
     const double value = ms / unit.factor;
     const bool exact = std::abs(value * 1000 - std::round(value * 1000)) < 1e-6;
     if (value >= 1 && exact && (unit.name != "m" || value == std::floor(value))) {
@@ -245,15 +250,15 @@
 
 std::string share_text(double share) { return number_text(share * 100) + "%"; }
 
-std::string rate_text(double a_second) {
-  constexpr std::array<std::string_view, 2> slower = {"/m", "/h"};
-  if (a_second == std::floor(a_second)) return number_text(a_second) + "/s";
-  double value = a_second;
-  for (const auto unit : slower) {
+std::string rate_text(double per_second) {
+  constexpr std::array<std::string_view, 2> slower_units = {"/m", "/h"};
+  if (per_second == std::floor(per_second)) return number_text(per_second) + "/s";
+  double value = per_second;
+  for (const auto unit : slower_units) {
     value *= 60;
     if (std::abs(value - std::round(value)) < 1e-6) return number_text(std::round(value)) + std::string(unit);
   }
-  return number_text(a_second) + "/s";
+  return number_text(per_second) + "/s";
 }
 
 }  // namespace heathturn::units
--- a/tests/router/config_test.cpp
+++ b/tests/router/config_test.cpp
@@ -63,11 +63,11 @@
   CHECK(*units::parse_duration("1h").value == 3600000);
   CHECK(*units::parse_duration("250us").value == 0.25);
   CHECK(units::parse_duration("300").error == "has no unit");
-  CHECK(units::parse_duration("").error == "is no number with a unit");
+  CHECK(units::parse_duration("").error == "is not a number with a unit");
   CHECK(units::parse_duration("-1s").error == "is negative");
   CHECK(units::parse_duration("1 s").error == "has the unknown unit \" s\"");
   CHECK(units::parse_duration("1e3s").error == "has the unknown unit \"e3s\"");
-  CHECK(units::parse_duration("infs").error == "is no number with a unit");
+  CHECK(units::parse_duration("infs").error == "is not a number with a unit");
   CHECK(*units::parse_share("35%").value == Approx(0.35));
   CHECK(*units::parse_share("0.35").value == Approx(0.35));
   CHECK(units::parse_share("35").error == "is above 1 and has no %");
@@ -95,9 +95,9 @@
   CHECK(text("Sat-Mon") == "Mon, Sat, Sun");
   CHECK(text("Sat 08:00-12:00, Sat 11:00-13:00") == "Sat 08:00-13:00");
   CHECK(text("Fri 18:00-24:00,Sat") == "Fri 18:00-24:00, Sat");
-  CHECK(text("Mon 25:00-26:00") == "fault: has the unusable time \"25:00-26:00\"");
+  CHECK(text("Mon 25:00-26:00") == "fault: has the invalid time \"25:00-26:00\"");
   CHECK(text("Mo 08:00-09:00") == "fault: has the unknown day \"Mo\"");
-  CHECK(text("Mon 08:00-08:00") == "fault: has the unusable time \"08:00-08:00\"");
+  CHECK(text("Mon 08:00-08:00") == "fault: has the invalid time \"08:00-08:00\"");
   CHECK(text("Mon,,Tue") == "fault: has an empty part");
   PROPERTY("written and read again", [](unsigned seed) {
     std::mt19937 random(seed);
@@ -167,11 +167,11 @@
 
 TEST_CASE("files that are none, too large, cut off, or not text are told of and not waited for") {
   const Folder folder;
-  CHECK(holds(only_fault(folder.path.string()), "is a directory; expected a file of text"));
+  CHECK(holds(only_fault(folder.path.string()), "is a directory; expected a text file"));
   CHECK(holds(only_fault((folder.path / "none").string()), "cannot be read: No such file"));
   const auto pipe = (folder.path / "pipe").string();
   REQUIRE(::mkfifo(pipe.c_str(), 0600) == 0);
-  CHECK(holds(only_fault(pipe), "is no regular file"));
+  CHECK(holds(only_fault(pipe), "is not a regular file"));
   const auto loop = folder.path / "loop";
   fs::create_symlink(loop, loop);
   CHECK(holds(only_fault(loop.string()), "cannot be read: Too many levels"));
@@ -181,7 +181,7 @@
   const auto text = read_file(HEATHTURN_SITE_FILE);
   const auto latin = folder.write("latin", "listen: \"127.0.0.1:1\"\n# caf\xe9\n");
   CHECK(only_fault(latin) ==
-        latin + ":2:6: syntax: a byte here is no text; expected UTF-8 without zero bytes");
+        latin + ":2:6: syntax: invalid byte; expected UTF-8 without zero bytes");
   // Cut off anywhere, it is either told of in one or more faults, or it is whole as far as it goes.
   std::size_t told = 0;
   for (std::size_t length = 0; length < text.size(); length += 7) {
@@ -213,7 +213,7 @@
   CHECK(holds(ran.out, "deadline: 1500 has no unit; expected a duration such as"));
   CHECK(holds(ran.out, "pool.north.member.north.address: \"nowhere\" is not an address"));
   CHECK(holds(ran.out, "route.649.policy: no policy is named \"quack\"; expected one of default, quick"));
-  CHECK(holds(ran.out, "wroth: there is no such field here; expected name, worth"));
+  CHECK(holds(ran.out, "wroth: unknown field; expected name, worth"));
   CHECK(holds(ran.out, "class.look-up.aim: \"1\" has no unit"));
   const auto unused = folder.write("unused", read_file(HEATHTURN_SITE_FILE) + "policy { name: \"spare\" }\n");
   const auto warned = run({"config", "check", unused});
