--- a/bench/tls_bench.cpp
+++ b/bench/tls_bench.cpp
@@ -182,7 +182,7 @@
       (void)e.receive_answer();
     }
     e.program->signal(SIGTERM);
-    e.program->wait();
+    e.program->wait_for_exit();
   }
   ::getrusage(RUSAGE_CHILDREN, &after);
   const double each = (cpu_ms(after) - cpu_ms(before)) / count;
--- a/drill/codec.cpp
+++ b/drill/codec.cpp
@@ -157,7 +157,7 @@
   const auto code = in.number<std::uint32_t>();
   event.cause = cause_of(code);
   if (event.cause == FailureCause::processor_full) event.wait_hint = std::chrono::milliseconds{code / 16};
-  raw.figures = read_figures(in);
+  raw.column_values = read_figures(in);
   return raw;
 }
 
@@ -275,7 +275,7 @@
         raw.event.exchange.value = in.number<std::uint32_t>();
         raw.event.succeeded = in.number<std::uint8_t>() == 10;
         raw.event.elapsed = micros(in.number<std::uint32_t>());
-        raw.figures = read_figures(in);
+        raw.column_values = read_figures(in);
         event = std::move(raw);
         break;
       }
@@ -313,14 +313,14 @@
   ++records_;
 }
 
-void ReplyEncoder::add_broken(std::uint32_t instance, const std::string& text) {
+void ReplyEncoder::add_error(std::uint32_t instance, const std::string& text) {
   name_source(instance);
   put(body_, std::uint8_t{100});
   put_text(body_, text);
   ++records_;
 }
 
-std::vector<std::uint8_t> ReplyEncoder::take() {
+std::vector<std::uint8_t> ReplyEncoder::take_frame() {
   std::vector<std::uint8_t> frame;
   frame.reserve(body_.size() + 8);
   put(frame, records_);
--- a/drill/codec.hpp
+++ b/drill/codec.hpp
@@ -10,8 +10,8 @@
 #include <variant>
 #include <vector>
 
-#include "maddershed/call_controller.hpp"
 #include "config/settings_reader.hpp"
+#include "maddershed/call_controller.hpp"
 
 namespace maddershed::drill {
 
@@ -34,11 +34,11 @@
 /// An attempt's end or an exchange's report, with its figures still in the order of the settings.
 struct AttemptEndedRaw {
   AttemptEnded event;
-  std::vector<float> figures;
+  std::vector<float> column_values;
 };
 struct ExchangeReportRaw {
   ExchangeReport event;
-  std::vector<float> figures;
+  std::vector<float> column_values;
 };
 using WireEvent = std::variant<Launch, Stop, DirectoryUpdate, CallOffered, CallStands, AttemptEndedRaw,
                                ExchangeReportRaw, CallerLeft, TimerDue, PeerMessage>;
@@ -46,7 +46,7 @@
 struct InstanceEvent {
   std::uint32_t instance = 0;
   WireEvent event;
-  std::size_t at = 0;  ///< byte of the frame where the record ends
+  std::size_t end_offset = 0;  ///< byte offset in the frame at which the record ends
 };
 
 [[nodiscard]] BatchHeader decode_header(std::span<const std::uint8_t, batch_header_size> bytes);
@@ -63,9 +63,9 @@
 class ReplyEncoder {
  public:
   void add(std::uint32_t instance, const Action& action);
-  void add_broken(std::uint32_t instance, const std::string& text);
+  void add_error(std::uint32_t instance, const std::string& text);
   /// The whole frame, header first; the encoder is empty afterwards.
-  [[nodiscard]] std::vector<std::uint8_t> take();
+  [[nodiscard]] std::vector<std::uint8_t> take_frame();
 
  private:
   void name_source(std::uint32_t instance);
--- a/drill/host.cpp
+++ b/drill/host.cpp
@@ -15,11 +15,11 @@
 std::vector<std::uint8_t> InstanceHost::handle(Time now, const std::vector<InstanceEvent>& events) {
   ReplyEncoder reply;
   std::vector<Action> actions;
-  for (const auto& [id, wire_event, at] : events) {
+  for (const auto& [id, wire_event, end_offset] : events) {
     const auto* start = std::get_if<Launch>(&wire_event);
     if (start == nullptr && !instances_.contains(id)) {
       throw WireError("event for instance " + std::to_string(id) + " before its launch, ending at byte " +
-                      std::to_string(at));
+                      std::to_string(end_offset));
     }
     auto& instance = instances_[id];
     std::optional<Event> event;
@@ -30,11 +30,11 @@
       instance.controller.reset();
     } else if (const auto* end = std::get_if<AttemptEndedRaw>(&wire_event)) {
       auto filled = end->event;
-      filled.report = to_load_report(instance.columns, end->figures);
+      filled.report = to_load_report(instance.columns, end->column_values);
       event = filled;
     } else if (const auto* report = std::get_if<ExchangeReportRaw>(&wire_event)) {
       auto filled = report->event;
-      filled.report = to_load_report(instance.columns, report->figures);
+      filled.report = to_load_report(instance.columns, report->column_values);
       event = filled;
     } else {
       std::visit(
@@ -48,12 +48,12 @@
     try {
       instance.controller->handle(now, *event, actions);
     } catch (const std::exception& error) {
-      reply.add_broken(id, error.what());
+      reply.add_error(id, error.what());
       continue;
     }
     for (const auto& action : actions) reply.add(id, action);
   }
-  return reply.take();
+  return reply.take_frame();
 }
 
 }  // namespace maddershed::drill
--- a/src/console/console.cpp
+++ b/src/console/console.cpp
@@ -74,7 +74,7 @@
 }
 
 std::string Console::status() {
-  const double up = (program_.clock().now_ms() - program_.started()) / 1000;
+  const double up = (program_.clock().now_ms() - program_.started_ms()) / 1000;
   auto out = row("heathturn %s, up %.0f s%s, %zu connections\n", version_.c_str(), up,
                  program_.draining() ? ", draining" : "", program_.net().size());
   for (const auto& service : program_.services()) {
--- a/src/emulator/handshake_world.cpp
+++ b/src/emulator/handshake_simulation.cpp
@@ -1,4 +1,4 @@
-#include "emulator/handshake_world.hpp"
+#include "emulator/handshake_simulation.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -68,33 +68,35 @@
   std::deque<double> waiting;  ///< deadlines of calls that wait for a connection
 };
 
-class World {
+class Simulation {
  public:
-  World(Way way, const HandshakePlan& plan) : way_(way), plan_(plan), random_(plan.seed) {}
+  Simulation(Strategy strategy, const SimulationSettings& settings)
+      : strategy_(strategy), settings_(settings), random_(settings.seed) {}
 
-  HandshakeResult run() {
-    for (std::uint32_t i = 0; i < plan_.routers; ++i) {
+  SimulationResult run() {
+    for (std::uint32_t i = 0; i < settings_.router_count; ++i) {
       auto& router = routers_.emplace_back();
-      router.connections.resize(plan_.connections);
-      auto settings = plan_.admission;
-      settings.router_count = plan_.routers;
-      settings.connections_per_converter = plan_.connections;
-      settings.full_cost_ms = plan_.full_cost;
-      settings.resumed_cost_ms = plan_.resumed_cost;
-      settings.start_capacity = plan_.start_capacity;
-      settings.cold_time_ms = plan_.cold_time;
-      router.admission = std::make_unique<Admission>(settings, random_());
+      router.connections.resize(settings_.connections_per_router);
+      auto admission_settings = settings_.admission;
+      admission_settings.router_count = settings_.router_count;
+      admission_settings.connections_per_converter = settings_.connections_per_router;
+      admission_settings.full_cost_ms = settings_.full_cost_ms;
+      admission_settings.resumed_cost_ms = settings_.resumed_cost_ms;
+      admission_settings.start_capacity = settings_.start_capacity;
+      admission_settings.cold_time_ms = settings_.cold_time_ms;
+      router.admission = std::make_unique<Admission>(admission_settings, random_());
       router.admission->update_converter(the_converter, 0, 0.0);
     }
     // The converter has started just now, and all routers come back at once.
-    for (std::uint32_t i = 0; i < plan_.routers; ++i) {
-      for (std::uint32_t k = 0; k < plan_.connections; ++k) agenda_.at(0, [this, i, k] { open(i, k); });
+    for (std::uint32_t i = 0; i < settings_.router_count; ++i) {
+      for (std::uint32_t k = 0; k < settings_.connections_per_router; ++k)
+        agenda_.at(0, [this, i, k] { open(i, k); });
     }
     next_call();
-    agenda_.at(plan_.cut_at, [this] { cut(); });
-    for (double at = 0; at < plan_.length; at += row_ms)
-      agenda_.at(at, [this] { out_.backlog.push_back(backlog()); });
-    agenda_.run(plan_.length);
+    agenda_.at(settings_.disconnect_at_ms, [this] { cut(); });
+    for (double at = 0; at < settings_.duration_ms; at += row_ms)
+      agenda_.at(at, [this] { out_.backlog_samples_ms.push_back(backlog()); });
+    agenda_.run(settings_.duration_ms);
     return std::move(out_);
   }
 
@@ -106,11 +108,12 @@
   void work(double cost, std::function<void(bool)> done) {
     const double now = agenda_.now;
     const double age = std::max(0.0, now - converter_.started);
-    const double capacity = plan_.start_capacity +
-                            (1 - plan_.start_capacity) * std::min(1.0, age / std::max(1.0, plan_.cold_time));
+    const double capacity =
+        settings_.start_capacity +
+        (1 - settings_.start_capacity) * std::min(1.0, age / std::max(1.0, settings_.cold_time_ms));
     converter_.free_at = std::max(converter_.free_at, now) + cost / capacity;
-    out_.worst_backlog = std::max(out_.worst_backlog, backlog());
-    if (backlog() > plan_.fall_backlog) {
+    out_.max_backlog_ms = std::max(out_.max_backlog_ms, backlog());
+    if (backlog() > settings_.crash_backlog_ms) {
       fall();
       return done(false);
     }
@@ -120,9 +123,9 @@
   }
 
   void fall() {
-    ++out_.falls;
+    ++out_.crashes;
     ++converter_.generation;
-    converter_.down_until = agenda_.now + plan_.restart_time;
+    converter_.down_until = agenda_.now + settings_.restart_time_ms;
     converter_.started = converter_.free_at = converter_.down_until;
     for (auto& router : routers_) router.session = false;  // its ticket keys go with it
     cut();
@@ -131,12 +134,12 @@
   /// Every connection that is up ends at once.
   void cut() {
     for (std::uint32_t i = 0; i < routers_.size(); ++i) {
-      for (std::uint32_t k = 0; k < plan_.connections; ++k) {
+      for (std::uint32_t k = 0; k < settings_.connections_per_router; ++k) {
         auto& each = routers_[i].connections[k];
         if (each.state != Connection::State::up) continue;
         each.state = Connection::State::none;
         routers_[i].admission->connection_closed(the_converter, agenda_.now, true);
-        agenda_.at(agenda_.now + plan_.connect_time, [this, i, k] { open(i, k); });
+        agenda_.at(agenda_.now + settings_.connect_time_ms, [this, i, k] { open(i, k); });
       }
     }
   }
@@ -156,7 +159,7 @@
     auto& each = router.connections[k];
     if (each.state != Connection::State::none) return;
     each.kind = handshakes::Kind::full;
-    if (way_ == Way::admission) {
+    if (strategy_ == Strategy::admission) {
       const auto verdict =
           router.admission->request_handshake(the_converter, agenda_.now, router.session, 1e300);
       if (!verdict.admitted) return again(i, k, verdict.retry_at_ms);
@@ -166,27 +169,28 @@
     const auto number = ++each.number;
     const double from = agenda_.now;
     if (down()) {  // refused at once
-      agenda_.at(from + 2 * plan_.connect_time,
+      agenda_.at(from + 2 * settings_.connect_time_ms,
                  [this, i, k, number, from] { failed(i, k, number, from, Outcome::refused); });
       return;
     }
-    agenda_.at(from + plan_.handshake_timeout,
+    agenda_.at(from + settings_.handshake_timeout_ms,
                [this, i, k, number, from] { failed(i, k, number, from, Outcome::timed_out); });
     const bool resumed = router.session;
-    agenda_.at(from + plan_.connect_time, [this, i, k, number, from, resumed] {
+    agenda_.at(from + settings_.connect_time_ms, [this, i, k, number, from, resumed] {
       if (down()) return failed(i, k, number, from, Outcome::refused);
-      work(resumed ? plan_.resumed_cost : plan_.full_cost, [this, i, k, number, from, resumed](bool whole) {
-        whole ? up(i, k, number, from, resumed) : failed(i, k, number, from, Outcome::reset);
-      });
+      work(resumed ? settings_.resumed_cost_ms : settings_.full_cost_ms,
+           [this, i, k, number, from, resumed](bool whole) {
+             whole ? up(i, k, number, from, resumed) : failed(i, k, number, from, Outcome::reset);
+           });
     });
   }
 
   void up(std::uint32_t i, std::uint32_t k, std::uint64_t number, double from, bool resumed) {
     auto& router = routers_[i];
     auto& each = router.connections[k];
-    ++(resumed ? out_.resumed : out_.full);
+    ++(resumed ? out_.resumed_handshakes : out_.full_handshakes);
     if (each.state != Connection::State::handshake || each.number != number) {
-      ++out_.wasted;  // the router has given it up, the converter did not know
+      ++out_.abandoned_handshakes;  // the router has given it up, the converter did not know
       return;
     }
     each.state = Connection::State::up;
@@ -194,8 +198,8 @@
     router.failures = 0;
     router.admission->handshake_finished(the_converter, agenda_.now, each.kind, Outcome::established, resumed,
                                          agenda_.now - from);
-    if (out_.all_back < 0 && std::all_of(routers_.begin(), routers_.end(), connected))
-      out_.all_back = agenda_.now;
+    if (out_.all_connected_at_ms < 0 && std::all_of(routers_.begin(), routers_.end(), connected))
+      out_.all_connected_at_ms = agenda_.now;
     auto waiting = std::move(router.waiting);
     router.waiting.clear();
     for (const auto due : waiting) call(i, due);
@@ -212,8 +216,8 @@
     each.state = Connection::State::none;
     router.admission->handshake_finished(the_converter, agenda_.now, each.kind, ending, false,
                                          agenda_.now - from);
-    if (way_ == Way::admission) return again(i, k, agenda_.now);
-    if (way_ == Way::none) return again(i, k, agenda_.now + 1);
+    if (strategy_ == Strategy::admission) return again(i, k, agenda_.now);
+    if (strategy_ == Strategy::none) return again(i, k, agenda_.now + 1);
     const double wait =
         std::min(backoff_most, std::ldexp(backoff_first, static_cast<int>(std::min(router.failures++, 10U))));
     again(i, k, agenda_.now + wait);
@@ -222,11 +226,11 @@
   // ---- Calls -------------------------------------------------------------------------------------------
 
   void next_call() {
-    const double gap = std::exponential_distribution<double>(plan_.calls_a_second / 1000)(random_);
+    const double gap = std::exponential_distribution<double>(settings_.calls_per_second / 1000)(random_);
     agenda_.at(agenda_.now + gap, [this] {
       const auto i = static_cast<std::uint32_t>(random_() % routers_.size());
       ++out_.calls;
-      call(i, agenda_.now + plan_.deadline);
+      call(i, agenda_.now + settings_.call_timeout_ms);
       next_call();
     });
   }
@@ -237,35 +241,37 @@
       return;
     }
     // As the decision module does: what the line shows no room for is not sent, it would only be late.
-    if (backlog() > plan_.deadline / 3) return;
-    work(plan_.set_up_cost, [this, due](bool whole) {
-      if (whole && agenda_.now <= due) ++out_.in_time;
+    if (backlog() > settings_.call_timeout_ms / 3) return;
+    work(settings_.set_up_cost_ms, [this, due](bool whole) {
+      if (whole && agenda_.now <= due) ++out_.answered_in_time;
     });
   }
 
-  Way way_;
-  HandshakePlan plan_;
+  Strategy strategy_;
+  SimulationSettings settings_;
   std::mt19937_64 random_;
   Agenda agenda_;
   Converter converter_;
   std::vector<Router> routers_;
-  HandshakeResult out_;
+  SimulationResult out_;
 };
 
 }  // namespace
 
-const char* way_text(Way way) {
-  switch (way) {
-    case Way::admission:
+const char* strategy_name(Strategy strategy) {
+  switch (strategy) {
+    case Strategy::admission:
       return "admission";
-    case Way::backoff:
+    case Strategy::backoff:
       return "backoff";
-    case Way::none:
+    case Strategy::none:
       break;
   }
   return "none";
 }
 
-HandshakeResult run_handshakes(Way way, const HandshakePlan& plan) { return World(way, plan).run(); }
+SimulationResult simulate_handshakes(Strategy strategy, const SimulationSettings& settings) {
+  return Simulation(strategy, settings).run();
+}
 
 }  // namespace heathturn::emulator
--- a/src/experiment_commands.cpp
+++ b/src/experiment_commands.cpp
@@ -4,7 +4,7 @@
 #include <memory>
 
 #include "config/formatter.hpp"
-#include "emulator/handshake_world.hpp"
+#include "emulator/handshake_simulation.hpp"
 #include "emulator/plot.hpp"
 
 namespace heathturn {
@@ -18,7 +18,7 @@
   std::string routers = "5..200";
   std::uint64_t seed = 1;
   std::string out;
-  HandshakePlan plan;
+  SimulationSettings settings;
 };
 
 /// "5..200" or "40". Throws CLI::ValidationError.
@@ -47,24 +47,28 @@
                              {"Work in line, " + std::to_string(sizes.back()) + " routers", "s", "ms", {}}};
   std::printf("%-10s %8s %6s %12s %14s %10s %8s %8s %8s\n", "way", "routers", "falls", "all_back_ms",
               "worst_line_ms", "in_time_%", "full", "resumed", "wasted");
-  for (const auto way : {Way::admission, Way::backoff, Way::none}) {
-    for (auto& plot : plots) plot.series.push_back({way_text(way), {}});
+  for (const auto strategy : {Strategy::admission, Strategy::backoff, Strategy::none}) {
+    for (auto& plot : plots) plot.series.push_back({strategy_name(strategy), {}});
     for (const auto size : sizes) {
-      auto plan = words.plan;
-      plan.routers = size;
-      plan.seed = words.seed;
-      const auto result = run_handshakes(way, plan);
-      const double in_time = 100.0 * static_cast<double>(result.in_time) / static_cast<double>(result.calls);
-      std::printf(
-          "%-10s %8u %6u %12.0f %14.0f %10.1f %8llu %8llu %8llu\n", way_text(way), size, result.falls,
-          result.all_back, result.worst_backlog, in_time, static_cast<unsigned long long>(result.full),
-          static_cast<unsigned long long>(result.resumed), static_cast<unsigned long long>(result.wasted));
-      plots[0].series.back().points.emplace_back(size, result.all_back < 0 ? plan.length : result.all_back);
-      plots[1].series.back().points.emplace_back(size, result.falls);
+      auto settings = words.settings;
+      settings.router_count = size;
+      settings.seed = words.seed;
+      const auto result = simulate_handshakes(strategy, settings);
+      const double in_time =
+          100.0 * static_cast<double>(result.answered_in_time) / static_cast<double>(result.calls);
+      std::printf("%-10s %8u %6u %12.0f %14.0f %10.1f %8llu %8llu %8llu\n", strategy_name(strategy), size,
+                  result.crashes, result.all_connected_at_ms, result.max_backlog_ms, in_time,
+                  static_cast<unsigned long long>(result.full_handshakes),
+                  static_cast<unsigned long long>(result.resumed_handshakes),
+                  static_cast<unsigned long long>(result.abandoned_handshakes));
+      plots[0].series.back().points.emplace_back(
+          size, result.all_connected_at_ms < 0 ? settings.duration_ms : result.all_connected_at_ms);
+      plots[1].series.back().points.emplace_back(size, result.crashes);
       plots[2].series.back().points.emplace_back(size, in_time);
       if (size != sizes.back()) continue;
-      for (std::size_t i = 0; i < result.backlog.size(); ++i) {
-        plots[3].series.back().points.emplace_back(static_cast<double>(i) * 0.25, result.backlog[i]);
+      for (std::size_t i = 0; i < result.backlog_samples_ms.size(); ++i) {
+        plots[3].series.back().points.emplace_back(static_cast<double>(i) * 0.25,
+                                                   result.backlog_samples_ms[i]);
       }
     }
   }
@@ -83,10 +87,11 @@
   command->add_option("--routers", words->routers, "How many, from..to (default: 5..200, doubling)");
   command->add_option("--seed", words->seed, "Of the random numbers; the same seed gives the same table");
   command->add_option("--plot", words->out, "Write the plots there, as SVG");
-  command->add_option("--calls", words->plan.calls_a_second, "Calls a second, of all routers (default: 300)");
-  command->add_option("--full-cost", words->plan.full_cost,
+  command->add_option("--calls", words->settings.calls_per_second,
+                      "Calls a second, of all routers (default: 300)");
+  command->add_option("--full-cost", words->settings.full_cost_ms,
                       "Processor time of a full handshake, ms (default: 2)");
-  command->add_option("--share", words->plan.admission.processor_share,
+  command->add_option("--share", words->settings.admission.processor_share,
                       "Of the processor, for handshakes (default: 0.4)");
   command->footer("Exit status: 0 done, 1 the plot could not be written.");
   command->callback([words, &status] { status = run_experiment(*words); });
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -52,13 +52,14 @@
   try {
     Program program(log);
     if (config)
-      program.add(std::make_unique<PlatformService>(program, std::move(*config), words.config, words.site));
+      program.add_service(
+          std::make_unique<PlatformService>(program, std::move(*config), words.config, words.site));
     if (site && site->has_enum_frontend)
-      program.add(std::make_unique<EnumService>(program, std::move(*site), words.site, fresh_seed()));
+      program.add_service(std::make_unique<EnumService>(program, std::move(*site), words.site, fresh_seed()));
     std::optional<Console> console;
     if (!console_path.empty()) console.emplace(program, console_path, version);
     status = program.run();
-    working = program.working();
+    working = program.has_background_work();
   } catch (const std::exception& error) {
     std::fprintf(stderr, "heathturn: %s\n", error.what());
     status = 1;
--- a/src/platform/platform_service.cpp
+++ b/src/platform/platform_service.cpp
@@ -36,7 +36,7 @@
       [this](ExchangeNumber number) { return converter_backend_.is_known_number(number); });
   caller_frontend_.set_readiness_check([this] {
     return converter_backend_.all_states_reported() ||
-           program_.clock().now_ms() - program_.started() >= readiness_timeout_ms;
+           program_.clock().now_ms() - program_.started_ms() >= readiness_timeout_ms;
   });
 }
 
--- a/src/program.cpp
+++ b/src/program.cpp
@@ -17,7 +17,7 @@
     : log_(log),
       net_(clock_, timers_, log_sink()),
       datagrams_(net_.base(), log_sink()),
-      started_(clock_.now_ms()) {}
+      started_ms_(clock_.now_ms()) {}
 
 LogSink Program::log_sink() {
   return [this](LogLevel level, const char* event, const std::vector<LogField>& fields) {
@@ -69,7 +69,7 @@
   }
 }
 
-bool Program::working() const {
+bool Program::has_background_work() const {
   return std::any_of(services_.begin(), services_.end(),
                      [](const auto& each) { return each->has_background_work(); });
 }
--- a/src/program.hpp
+++ b/src/program.hpp
@@ -18,13 +18,13 @@
 class Program {
  public:
   explicit Program(EventLog& log);
-  void add(std::unique_ptr<Service> service) { services_.push_back(std::move(service)); }
+  void add_service(std::unique_ptr<Service> service) { services_.push_back(std::move(service)); }
   /// Serves until SIGTERM, SIGINT or drain(); returns the exit status.
   int run();
   /// Takes work a little longer, answers all that it has taken, and ends.
   void drain();
   /// Something is under way that the end of the process must not wait for.
-  [[nodiscard]] bool working() const;
+  [[nodiscard]] bool has_background_work() const;
   /// Each service reads its file again; what cannot be read leaves its service as it was.
   void reload();
   void log(LogLevel level, const char* event, const std::vector<LogField>& fields = {});
@@ -37,7 +37,7 @@
   [[nodiscard]] Datagrams& datagrams() { return datagrams_; }
   [[nodiscard]] const std::vector<std::unique_ptr<Service>>& services() const { return services_; }
   [[nodiscard]] bool draining() const { return draining_; }
-  [[nodiscard]] double started() const { return started_; }
+  [[nodiscard]] double started_ms() const { return started_ms_; }
 
  private:
   void stop_when_done();
@@ -49,7 +49,7 @@
   Connections net_;
   Datagrams datagrams_;
   std::vector<std::unique_ptr<Service>> services_;
-  double started_ = 0;
+  double started_ms_ = 0;
   double last_call_ = 0;
   bool draining_ = false;
   bool telling_dropped_ = false;
--- a/tests/adapter_test.cpp
+++ b/tests/adapter_test.cpp
@@ -38,9 +38,9 @@
   return out;
 }
 std::vector<std::uint8_t> launch(std::uint32_t instance, const std::string& settings) {
-  auto body = bytes("78");
+  auto body = bytes_from_hex("78");
   append(body, little(instance, 4));
-  append(body, bytes("0a 0700000000000000"));
+  append(body, bytes_from_hex("0a 0700000000000000"));
   append(body, little(settings.size(), 4));
   body.insert(body.end(), settings.begin(), settings.end());
   return body;
@@ -66,22 +66,22 @@
 TEST(Adapter, EmptyBatchAndCleanExit) {
   const auto outcome = run(frame(5, 0, {}));
   EXPECT_EQ(outcome.status, 0);
-  EXPECT_EQ(outcome.out, bytes("00000000 00000000"));
+  EXPECT_EQ(outcome.out, bytes_from_hex("00000000 00000000"));
   EXPECT_EQ(outcome.err, "");
 }
 
 TEST(Adapter, AnswersACallAfterKillAndRelaunchInOneBatch) {
-  auto body = launch(3, plain_settings);
-  append(body, bytes("64"));  // killed
-  append(body, launch(3, plain_settings));
-  append(body, bytes("6e 00000000 01000000 074a1203 00 00 0100 01 0000803f 0000000000000000"));
-  append(body, bytes("14 02 29000000 00000000"));
-  append(body, bytes("50 074a1203 0a 00000000 02 0000a0400000a040"));  // five circuits of five free
-  append(body, bytes("1e c4913a5d17830b00 00 0000 0000803f c0c62d00 00000000 0000803f 00000000"
-                     "0000000000000000 000080bf"));
+  auto body = launch(3, test_settings);
+  append(body, bytes_from_hex("64"));  // killed
+  append(body, launch(3, test_settings));
+  append(body, bytes_from_hex("6e 00000000 01000000 074a1203 00 00 0100 01 0000803f 0000000000000000"));
+  append(body, bytes_from_hex("14 02 29000000 00000000"));
+  append(body, bytes_from_hex("50 074a1203 0a 00000000 02 0000a0400000a040"));  // five circuits of five free
+  append(body, bytes_from_hex("1e c4913a5d17830b00 00 0000 0000803f c0c62d00 00000000 0000803f 00000000"
+                              "0000000000000000 000080bf"));
   const auto outcome = run(frame(1000000, 9, body));
   EXPECT_EQ(outcome.status, 0) << outcome.err;
-  const auto set_up = bytes("0a c4913a5d17830b00");
+  const auto set_up = bytes_from_hex("0a c4913a5d17830b00");
   EXPECT_NE(std::search(outcome.out.begin(), outcome.out.end(), set_up.begin(), set_up.end()),
             outcome.out.end());
 }
@@ -95,10 +95,10 @@
 }
 
 TEST(Adapter, MalformedInputIsNamedAndEndsTheProcess) {
-  expect_refused(bytes("010203"), "inside a header");
-  expect_refused(bytes("ffffffff 0000000000000000 01000000 78"), "byte 17");
-  expect_refused(frame(5, 2, bytes("78 03000000 c8")), "unknown event code 200");
-  expect_refused(frame(5, 2, bytes("78 03000000 46 4d00000000000000")), "before its launch");
+  expect_refused(bytes_from_hex("010203"), "inside a header");
+  expect_refused(bytes_from_hex("ffffffff 0000000000000000 01000000 78"), "byte 17");
+  expect_refused(frame(5, 2, bytes_from_hex("78 03000000 c8")), "unknown event code 200");
+  expect_refused(frame(5, 2, bytes_from_hex("78 03000000 46 4d00000000000000")), "before its launch");
   expect_refused(frame(5, 2, launch(3, "classes.count=1\n")), "classes.0.importance");
 }
 
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -12,7 +12,7 @@
 namespace maddershed::drill {
 namespace {
 
-using test::bytes;
+using test::bytes_from_hex;
 
 std::vector<InstanceEvent> decode(BatchDecoder& decoder, std::uint32_t records,
                                   const std::vector<std::uint8_t>& body) {
@@ -23,7 +23,7 @@
 }
 
 TEST(Codec, Header) {
-  const auto raw = bytes("48000000 5a5c800000000000 05000000");
+  const auto raw = bytes_from_hex("48000000 5a5c800000000000 05000000");
   const auto header =
       decode_header(std::span<const std::uint8_t, batch_header_size>(raw.data(), batch_header_size));
   EXPECT_EQ(header.length, 72U);
@@ -33,13 +33,14 @@
 
 TEST(Codec, OfferedCallTimerAndCallerLeft) {
   BatchDecoder decoder;
-  const auto events = decode(decoder, 5,
-                             bytes("78 03000000"
-                                   "1e c4913a5d17830b00 01 0000 00009644 80a90300 00000000 00006442 e02e0000"
-                                   "640ad2557c3bf091 00008043"
-                                   "46 4d00000000000000"
-                                   "78 05000000"
-                                   "3c 192b6f0e77d30300"));
+  const auto events =
+      decode(decoder, 5,
+             bytes_from_hex("78 03000000"
+                            "1e c4913a5d17830b00 01 0000 00009644 80a90300 00000000 00006442 e02e0000"
+                            "640ad2557c3bf091 00008043"
+                            "46 4d00000000000000"
+                            "78 05000000"
+                            "3c 192b6f0e77d30300"));
   ASSERT_EQ(events.size(), 3U);
   EXPECT_EQ(events[0].instance, 3U);
   const auto& call = std::get<CallOffered>(events[0].event);
@@ -59,7 +60,7 @@
   const std::string first = "6e 00000000 01000000 074a1203 00 00 0000 01 0000803f 0000000000000000";
   const std::string second = "6e 00000000 01000000 f211902c 01 00 0100 02 0000c03f 20145d0000000000";
   const std::string update = "14 02 29000000 00000000";
-  const auto events = decode(decoder, 5, bytes("78 03000000" + first + update + second + update));
+  const auto events = decode(decoder, 5, bytes_from_hex("78 03000000" + first + update + second + update));
   ASSERT_EQ(events.size(), 2U);
   const auto& one = std::get<DirectoryUpdate>(events[0].event);
   const auto& two = std::get<DirectoryUpdate>(events[1].event);
@@ -74,15 +75,17 @@
 
 TEST(Codec, AttemptEnded) {
   BatchDecoder decoder;
-  const auto events = decode(decoder, 2,
-                             bytes("78 03000000 32 c4913a5d17830b00 0000 074a1203 1e 44480000 00 12000000"
-                                   "04 cdcccc3e0000a03f52b81e3f00004040"));
+  const auto events =
+      decode(decoder, 2,
+             bytes_from_hex("78 03000000 32 c4913a5d17830b00 0000 074a1203 1e 44480000 00 12000000"
+                            "04 cdcccc3e0000a03f52b81e3f00004040"));
   const auto& end = std::get<AttemptEndedRaw>(events.at(0).event);
   EXPECT_EQ(end.event.result, AttemptResult::not_set_up);
   EXPECT_EQ(end.event.cause, FailureCause::destination_processor_full);
   EXPECT_EQ(end.event.elapsed, Duration{18500});
   EXPECT_FALSE(end.event.call_finished);
-  const auto report = to_load_report({"spare", "new_thing", "utilization", "backlog", "beyond"}, end.figures);
+  const auto report =
+      to_load_report({"spare", "new_thing", "utilization", "backlog", "beyond"}, end.column_values);
   EXPECT_FLOAT_EQ(static_cast<float>(*report.free_circuits), 0.4F);
   EXPECT_FLOAT_EQ(static_cast<float>(*report.utilisation), 0.62F);
   EXPECT_EQ(report.queued_set_ups, 3.0);
@@ -94,23 +97,24 @@
   encoder.add(3, SendSetUp{CallId{0x000b83175d3a91c4}, ExchangeId{0x03124a07}, Time{Duration{0x8194da}}});
   encoder.add(3, SetTimer{Time{Duration{0x87fd7a}}, 77});
   encoder.add(5, LogLine{"two servers known"});
-  EXPECT_EQ(encoder.take(), bytes("05000000 44000000"
-                                  "82 03000000"
-                                  "0a c4913a5d17830b00 da94810000000000 074a1203"
-                                  "32 7afd870000000000 4d00000000000000"
-                                  "82 05000000"
-                                  "5a 1100 74776f2073657276657273206b6e6f776e"));
-  EXPECT_EQ(encoder.take(), bytes("00000000 00000000"));
+  EXPECT_EQ(encoder.take_frame(), bytes_from_hex("05000000 44000000"
+                                                 "82 03000000"
+                                                 "0a c4913a5d17830b00 da94810000000000 074a1203"
+                                                 "32 7afd870000000000 4d00000000000000"
+                                                 "82 05000000"
+                                                 "5a 1100 74776f2073657276657273206b6e6f776e"));
+  EXPECT_EQ(encoder.take_frame(), bytes_from_hex("00000000 00000000"));
 }
 
 TEST(Codec, MalformedFramesAreNamed) {
   BatchDecoder decoder;
-  EXPECT_THROW((void)decode(decoder, 2, bytes("78 03000000 46 4d000000")), WireError);        // truncated
-  EXPECT_THROW((void)decode(decoder, 1, bytes("78 03000000 46")), WireError);                 // left over
-  EXPECT_THROW((void)decode(decoder, 2, bytes("78 03000000 c8")), WireError);                 // unknown code
-  EXPECT_THROW((void)decode(decoder, 1, bytes("46 4d00000000000000")), WireError);            // no instance
-  EXPECT_THROW((void)decode(decoder, 1, bytes("6e 00000000 ffffffff 074a1203")), WireError);  // false count
-  EXPECT_THROW((void)decode(decoder, 1, bytes("6e 10000000 00000000")), WireError);           // list number
+  EXPECT_THROW((void)decode(decoder, 2, bytes_from_hex("78 03000000 46 4d000000")), WireError);  // truncated
+  EXPECT_THROW((void)decode(decoder, 1, bytes_from_hex("78 03000000 46")), WireError);           // left over
+  EXPECT_THROW((void)decode(decoder, 2, bytes_from_hex("78 03000000 c8")), WireError);       // unknown code
+  EXPECT_THROW((void)decode(decoder, 1, bytes_from_hex("46 4d00000000000000")), WireError);  // no instance
+  EXPECT_THROW((void)decode(decoder, 1, bytes_from_hex("6e 00000000 ffffffff 074a1203")),
+               WireError);                                                                    // false count
+  EXPECT_THROW((void)decode(decoder, 1, bytes_from_hex("6e 10000000 00000000")), WireError);  // list number
 }
 
 /// The records of a reply, without its header.
@@ -129,7 +133,7 @@
     for (std::uint32_t instance = 0; instance < 2; ++instance) {
       std::vector<InstanceEvent> own;
       if (step == 0) {
-        own.push_back({instance, Launch{instance + 5, test::plain_settings}});
+        own.push_back({instance, Launch{instance + 5, test::test_settings}});
         DirectoryUpdate update;
         update.kind = DirectoryUpdate::Kind::cached;
         for (std::uint32_t i = 0; i < 4; ++i) {
@@ -166,11 +170,11 @@
   EXPECT_NE(message("classes.count=1\nclasses.0.importance=much").find("classes.0.importance"),
             std::string::npos);
   EXPECT_NE(message("classes.count=-1").find("classes.count"), std::string::npos);
-  EXPECT_EQ(message(test::plain_settings), "none");
+  EXPECT_EQ(message(test::test_settings), "none");
 }
 
 TEST(ParseSettings, ReadsClassesAndSkipsUnknownKeys) {
-  const auto parsed = parse_settings(std::string(test::plain_settings) + "something.new=1,2,3\n");
+  const auto parsed = parse_settings(std::string(test::test_settings) + "something.new=1,2,3\n");
   ASSERT_EQ(parsed.settings.classes.size(), 2U);
   EXPECT_EQ(parsed.settings.classes[1].worth, 2.0);
   EXPECT_EQ(parsed.settings.classes[1].circuits, 3.0);
--- a/tests/frames.hpp
+++ b/tests/frames.hpp
@@ -9,7 +9,7 @@
 namespace maddershed::test {
 
 /// Hexadecimal digits to bytes; blanks are skipped.
-inline std::vector<std::uint8_t> bytes(std::string_view text) {
+inline std::vector<std::uint8_t> bytes_from_hex(std::string_view text) {
   std::vector<std::uint8_t> out;
   std::string digits;
   for (const char c : text) {
@@ -22,7 +22,7 @@
   return out;
 }
 
-inline constexpr const char* plain_settings =
+inline constexpr const char* test_settings =
     "classes.count=2\nclasses.0.importance=1.0\nclasses.0.objective_us=1500000\nclasses.0.give_up_us="
     "9000000\n"
     "classes.1.importance=2.0\nclasses.1.objective_us=1500000\nclasses.1.give_up_us=9000000\n"
--- a/tests/router/appliance_test.cpp
+++ b/tests/router/appliance_test.cpp
@@ -16,11 +16,11 @@
   [[nodiscard]] Request next() const {
     Request out{listener.accept(), "", ""};
     std::size_t length = 0;
-    for (auto line = out.connection.line(); line != "\r"; line = out.connection.line()) {
+    for (auto line = out.connection.read_line(); line != "\r"; line = out.connection.read_line()) {
       if (out.line.empty()) out.line = line.substr(0, line.find(" HTTP"));
       if (line.starts_with("Content-Length: ")) length = std::stoul(line.substr(16));
     }
-    out.body = out.connection.take(length);
+    out.body = out.connection.read_bytes(length);
     return out;
   }
   static void answer(const Request& request, int status, const std::string& body = "") {
@@ -57,7 +57,7 @@
   CHECK(served(1));
   // An outage in three forms: the list stays.
   Registry::answer(fetch, 500);
-  e.program->log("event=registry_unusable");
+  e.program->wait_for_log("event=registry_unusable");
   Registry::answer(registry.next(), 200, "{nonsense");
   registry.next().connection.close();
   CHECK(served(2));
@@ -77,7 +77,7 @@
   const auto refused = e.receive_answer();  // at once, while the other is still open
   CHECK(refused.id == 5);
   CHECK(refused.rcode == dns::rcode::serv_fail);
-  CHECK(e.udp[0].quiet(100));
+  CHECK(e.udp[0].no_input_within(100));
   e.send_reply(0, before, EnumFixture::reply(before.message, "sip:s@example.org"));
   CHECK(e.receive_answer().id == 4);
 }
@@ -110,7 +110,7 @@
   CHECK(seen ==
         std::vector<std::string>{"POST /eureka/apps/HEATHTURN", "PUT /eureka/apps/HEATHTURN/h%201?status=UP",
                                  "POST /eureka/apps/HEATHTURN", "DELETE /eureka/apps/HEATHTURN/h%201"});
-  CHECK(e.program->wait() == 0);
+  CHECK(e.program->wait_for_exit() == 0);
 }
 
 // ---- The console ----------------------------------------------------------------------------------------
@@ -118,8 +118,8 @@
 /// Runs `heathturn console` with one command; returns all that it prints.
 std::string console(const std::string& socket, const std::string& command, int status = 0) {
   Process client({"console", "--socket", socket, command});
-  const auto out = client.rest();
-  CHECK(client.wait() == status);
+  const auto out = client.read_remaining_output();
+  CHECK(client.wait_for_exit() == status);
   return out;
 }
 
@@ -141,15 +141,15 @@
   CHECK(console(path, "status").find("draining") != std::string::npos);
   e.send_reply(0, asked, EnumFixture::reply(asked.message, "sip:t@example.org"));
   CHECK(e.receive_answer().id == 77);
-  CHECK(e.program->wait() == 0);
+  CHECK(e.program->wait_for_exit() == 0);
   CHECK(console(path, "status", 1).find("no console at") != std::string::npos);
 }
 
 TEST_CASE("a console's path that something else uses is left alone") {
   const TempFile at("mine");
   Process program({"serve", "--site", HEATHTURN_SITE_FILE, "--console", at.path()});
-  program.log("in use by something else");
-  CHECK(program.wait() == 1);
+  program.wait_for_log("in use by something else");
+  CHECK(program.wait_for_exit() == 1);
   CHECK(read_file(at.path()) == "mine");
 }
 
--- a/tests/router/config_test.cpp
+++ b/tests/router/config_test.cpp
@@ -14,7 +14,7 @@
 #include "config/site_reader.hpp"
 #include "config/sources.hpp"
 #include "core/clock.hpp"
-#include "stand_in.hpp"
+#include "network_helpers.hpp"
 
 namespace heathturn::test {
 namespace {
@@ -47,8 +47,8 @@
 Ran run(const std::vector<std::string>& arguments) {
   Process program(arguments);
   Ran out;
-  out.out = program.rest();
-  out.status = program.wait();
+  out.out = program.read_remaining_output();
+  out.status = program.wait_for_exit();
   return out;
 }
 
@@ -225,8 +225,8 @@
 TEST_CASE("the old JSON form is named as such, and converted to the same meaning") {
   const std::string old = std::string(HEATHTURN_TEST_FILES) + "/old_form.json";
   Process program({"serve", "--enum", old});
-  CHECK(holds(program.rest(), "`heathturn config convert " + old + "` writes the new one"));
-  CHECK(program.wait() == 1);
+  CHECK(holds(program.read_remaining_output(), "`heathturn config convert " + old + "` writes the new one"));
+  CHECK(program.wait_for_exit() == 1);
   const Folder folder;
   const auto converted = (folder.path / "site.textproto").string();
   CHECK(run({"config", "convert", old, "--out", converted}).status == 0);
--- a/tests/router/enum_fixture.hpp
+++ b/tests/router/enum_fixture.hpp
@@ -4,7 +4,7 @@
 
 #include "enum/dns.hpp"
 #include "net/framing.hpp"
-#include "stand_in.hpp"
+#include "network_helpers.hpp"
 
 namespace heathturn::test {
 
@@ -62,7 +62,7 @@
     std::vector<std::string> command = {"serve", "--site", file->path()};
     command.insert(command.end(), arguments.begin(), arguments.end());
     program = std::make_unique<Process>(command);
-    server_address = program->listening("resolver");
+    server_address = program->wait_for_listening_address("resolver");
   }
   /// The settings that every test needs besides pools and routes.
   static std::string site_header() {
--- a/tests/router/enum_test.cpp
+++ b/tests/router/enum_test.cpp
@@ -67,13 +67,13 @@
   text.replace(text.find(old_routes), old_routes.size(), EnumFixture::routes("pool1", "pool0"));
   fixture.file->write(text);
   fixture.program->signal(SIGHUP);
-  fixture.program->log("numbers 64: 100% to pool pool1, was 0%; only then to pool pool0, was 100%");
-  fixture.program->log("event=configuration_taken front=enum");
+  fixture.program->wait_for_log("numbers 64: 100% to pool pool1, was 0%; only then to pool pool0, was 100%");
+  fixture.program->wait_for_log("event=configuration_taken front=enum");
   fixture.send_reply(0, pending, EnumFixture::reply(pending.message, "sip:a@example.org"));
   CHECK(answer_contains(fixture.receive_answer(), "sip:a@example.org"));
   fixture.file->write(text + "suffix: 7\n");
   fixture.program->signal(SIGHUP);
-  CHECK(fixture.program->log("event=configuration_kept").find("suffix") != std::string::npos);
+  CHECK(fixture.program->wait_for_log("event=configuration_kept").find("suffix") != std::string::npos);
   fixture.send_query(EnumFixture::query(EnumFixture::enum_name("2.4.6")));
   const auto rerouted = fixture.receive_query(1);
   fixture.send_reply(1, rerouted, EnumFixture::reply(rerouted.message, "sip:b@example.org"));
@@ -88,7 +88,8 @@
   truncated_reply.truncated = true;
   fixture.send_reply(1, first_query, truncated_reply);
   auto connection = fixture.tcp[1].accept();
-  const auto bytes = connection.take(static_cast<std::size_t>(big_endian(connection.take(2), 0, 2)));
+  const auto bytes =
+      connection.read_bytes(static_cast<std::size_t>(big_endian(connection.read_bytes(2), 0, 2)));
   const auto tcp_query = dns::parse_message(bytes);
   REQUIRE(tcp_query);
   CHECK(tcp_query->question->matches(*first_query.message.question));
@@ -98,13 +99,13 @@
   std::string framed;
   put_big_endian(framed, tcp_reply.size(), 2);
   connection.write(framed + tcp_reply.substr(0, 100));
-  CHECK(fixture.resolver.quiet(50));
+  CHECK(fixture.resolver.no_input_within(50));
   connection.write(tcp_reply.substr(100));
   // The answer does not fit into 512 bytes, the limit without EDNS.
   const auto answer = fixture.receive_answer();
   CHECK(answer.truncated);
   CHECK(answer.answers.empty());
-  CHECK(fixture.udp[1].quiet(100));  // no second look-up
+  CHECK(fixture.udp[1].no_input_within(100));  // no second look-up
 }
 
 TEST_CASE("an answer is as large as the resolver accepts: by EDNS, over TCP") {
@@ -126,8 +127,8 @@
   connection.write((framed + bytes).substr(9));
   received = fixture.receive_query(1);
   fixture.send_reply(1, received, EnumFixture::reply(received.message, "sip:d@example.org", 30));
-  const auto tcp_answer =
-      dns::parse_message(connection.take(static_cast<std::size_t>(big_endian(connection.take(2), 0, 2))));
+  const auto tcp_answer = dns::parse_message(
+      connection.read_bytes(static_cast<std::size_t>(big_endian(connection.read_bytes(2), 0, 2))));
   REQUIRE(tcp_answer);
   CHECK(tcp_answer->answers.size() == 30);
 }
@@ -148,11 +149,11 @@
   const auto valid_reply =
       dns::serialize_message(EnumFixture::reply(received.message, "sip:true@example.org"));
   fixture.udp[1].send_to(received.from, valid_reply.substr(0, valid_reply.size() - 4));  // malformed
-  CHECK(fixture.resolver.quiet(100));
+  CHECK(fixture.resolver.no_input_within(100));
   fixture.udp[1].send_to(received.from, valid_reply);
   CHECK(answer_contains(fixture.receive_answer(), "sip:true@example.org"));
   fixture.send_reply(1, received, EnumFixture::reply(received.message, "sip:late@example.org"));
-  CHECK(fixture.resolver.quiet(100));
+  CHECK(fixture.resolver.no_input_within(100));
 }
 
 TEST_CASE(
@@ -178,16 +179,16 @@
   const EnumFixture fixture;
   fixture.send_query(EnumFixture::query(EnumFixture::enum_name("3.2.1.4.6")));
   const auto received = fixture.receive_query(0);
-  CHECK(fixture.udp[1].quiet(50));
+  CHECK(fixture.udp[1].no_input_within(50));
   auto error_reply = EnumFixture::reply(received.message, "", 0);
   error_reply.rcode = dns::rcode::serv_fail;
   fixture.send_reply(0, received, error_reply);
   // The module may choose another attempt or SERVFAIL, but two look-ups must never be in flight at once.
-  while (fixture.resolver.quiet(0)) {
+  while (fixture.resolver.no_input_within(0)) {
     for (std::size_t i = 0; i < 2; ++i) {
       if (!readable(fixture.udp[i].descriptor(), 5)) continue;
       const auto next_query = fixture.receive_query(i);
-      CHECK(fixture.udp[1 - i].quiet(20));
+      CHECK(fixture.udp[1 - i].no_input_within(20));
       error_reply = EnumFixture::reply(next_query.message, "", 0);
       error_reply.rcode = dns::rcode::serv_fail;
       fixture.send_reply(i, next_query, error_reply);
@@ -205,10 +206,10 @@
   fixture.send_query(query);
   const auto received = fixture.receive_query(1);
   fixture.send_query(query);
-  CHECK(fixture.udp[1].quiet(100));
+  CHECK(fixture.udp[1].no_input_within(100));
   fixture.send_reply(1, received, EnumFixture::reply(received.message, "sip:f@example.org"));
   CHECK(fixture.receive_answer().id == 77);
-  CHECK(fixture.resolver.quiet(100));
+  CHECK(fixture.resolver.no_input_within(100));
 }
 
 TEST_CASE("no more look-ups are in flight at a name server than its limit allows") {
@@ -216,7 +217,7 @@
   fixture.send_query(EnumFixture::query(EnumFixture::enum_name("1.4"), 1));
   const auto first = fixture.receive_query(1);
   fixture.send_query(EnumFixture::query(EnumFixture::enum_name("2.4"), 2));
-  CHECK(fixture.udp[1].quiet(100));
+  CHECK(fixture.udp[1].no_input_within(100));
   fixture.send_reply(1, first, EnumFixture::reply(first.message, "sip:g@example.org"));
   CHECK(fixture.receive_answer().id == 1);
 }
@@ -226,10 +227,10 @@
   fixture.send_query(EnumFixture::query(EnumFixture::enum_name("1.4")));
   const auto received = fixture.receive_query(1);
   fixture.program->signal(SIGTERM);
-  fixture.program->log("draining open=1");
+  fixture.program->wait_for_log("draining open=1");
   fixture.send_reply(1, received, EnumFixture::reply(received.message, "sip:h@example.org"));
   CHECK(answer_contains(fixture.receive_answer(), "sip:h@example.org"));
-  CHECK(fixture.program->wait() == 0);
+  CHECK(fixture.program->wait_for_exit() == 0);
 }
 
 }  // namespace
--- a/tests/router/handshakes_test.cpp
+++ b/tests/router/handshakes_test.cpp
@@ -3,7 +3,7 @@
 
 #include <catch2/catch.hpp>
 
-#include "emulator/handshake_world.hpp"
+#include "emulator/handshake_simulation.hpp"
 #include "emulator/plot.hpp"
 #include "handshakes/admission.hpp"
 
@@ -11,9 +11,9 @@
 namespace {
 
 using namespace handshakes;
-using emulator::HandshakePlan;
-using emulator::run_handshakes;
-using emulator::Way;
+using emulator::simulate_handshakes;
+using emulator::SimulationSettings;
+using emulator::Strategy;
 
 constexpr ExchangeId first_converter{1}, second_converter{2};
 constexpr double far_future_ms = 1e300;
@@ -181,29 +181,30 @@
 
 TEST_CASE("in the emulator a converter that restarts stays up with admission and is overloaded without it") {
   for (const std::uint64_t seed : {1U, 2U}) {
-    HandshakePlan plan;
-    plan.routers = 200;
-    plan.seed = seed;
-    plan.length = 14000;
-    plan.cut_at = 9000;
-    const auto with_admission = run_handshakes(Way::admission, plan);
-    CHECK(with_admission.falls == 0);
-    CHECK(with_admission.all_back > 0);
-    CHECK(with_admission.all_back < 6000);
-    CHECK(with_admission.worst_backlog < plan.fall_backlog / 2);
-    CHECK(with_admission.wasted == 0);
-    CHECK(static_cast<double>(with_admission.in_time) > 0.85 * static_cast<double>(with_admission.calls));
+    SimulationSettings settings;
+    settings.router_count = 200;
+    settings.seed = seed;
+    settings.duration_ms = 14000;
+    settings.disconnect_at_ms = 9000;
+    const auto with_admission = simulate_handshakes(Strategy::admission, settings);
+    CHECK(with_admission.crashes == 0);
+    CHECK(with_admission.all_connected_at_ms > 0);
+    CHECK(with_admission.all_connected_at_ms < 6000);
+    CHECK(with_admission.max_backlog_ms < settings.crash_backlog_ms / 2);
+    CHECK(with_admission.abandoned_handshakes == 0);
+    CHECK(static_cast<double>(with_admission.answered_in_time) >
+          0.85 * static_cast<double>(with_admission.calls));
     // Connections that are cut while their sessions are valid are resumed.
-    CHECK(with_admission.resumed >= plan.routers);
-    const auto with_backoff = run_handshakes(Way::backoff, plan);
-    CHECK(with_backoff.falls > 0);
-    const auto without = run_handshakes(Way::none, plan);
-    CHECK(without.falls > 3);
-    CHECK(without.all_back < 0);
+    CHECK(with_admission.resumed_handshakes >= settings.router_count);
+    const auto with_backoff = simulate_handshakes(Strategy::backoff, settings);
+    CHECK(with_backoff.crashes > 0);
+    const auto without = simulate_handshakes(Strategy::none, settings);
+    CHECK(without.crashes > 3);
+    CHECK(without.all_connected_at_ms < 0);
     // The same seed gives the same result.
-    const auto repeated = run_handshakes(Way::admission, plan);
-    CHECK(repeated.in_time == with_admission.in_time);
-    CHECK(repeated.backlog == with_admission.backlog);
+    const auto repeated = simulate_handshakes(Strategy::admission, settings);
+    CHECK(repeated.answered_in_time == with_admission.answered_in_time);
+    CHECK(repeated.backlog_samples_ms == with_admission.backlog_samples_ms);
   }
 }
 
--- a/tests/router/stand_in.hpp
+++ b/tests/router/network_helpers.hpp
@@ -1,5 +1,5 @@
 // The one helper of the network tests: the real program as a process, and sockets that play its clients and
-// servers. Every wait ends when what is waited for is there, or fails after `patience`.
+// servers. Every wait ends when what is waited for is there, or fails after `wait_timeout_ms`.
 #pragma once
 
 #include <arpa/inet.h>
@@ -28,7 +28,7 @@
 
 namespace heathturn::test {
 
-inline constexpr int patience_ms = 15000;
+inline constexpr int wait_timeout_ms = 15000;
 
 inline double now_ms() {
   return std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now().time_since_epoch())
@@ -83,7 +83,7 @@
     return bound_pair();
   }
   Socket accept() const {
-    REQUIRE(readable(descriptor_, patience_ms));
+    REQUIRE(readable(descriptor_, wait_timeout_ms));
     return Socket(::accept4(descriptor_, nullptr, nullptr, SOCK_CLOEXEC));
   }
   [[nodiscard]] Address address() const {
@@ -97,7 +97,7 @@
             static_cast<ssize_t>(bytes.size()));
   }
   /// Up to and without the line feed; "" when the peer has closed.
-  std::string line() {
+  std::string read_line() {
     while (input_.find('\n') == std::string::npos) {
       if (!fill()) return "";
     }
@@ -106,35 +106,37 @@
     input_.erase(0, end + 1);
     return out;
   }
-  std::string take(std::size_t count) {
+  std::string read_bytes(std::size_t count) {
     while (input_.size() < count) REQUIRE(fill());
     const auto out = input_.substr(0, count);
     input_.erase(0, count);
     return out;
   }
   /// The next message that is not of the kinds that mean nothing here.
-  Message message() {
+  Message read_message() {
     while (true) {
-      const auto text = line();
+      const auto text = read_line();
       INFO("the peer closed the connection");
       REQUIRE_FALSE(text.empty());
       auto out = parse_message(text);
       if (out.op != Op::ended && out.op != Op::ringing && out.op != Op::test) return out;
     }
   }
-  void say(const Message& message) const { write(serialize_message(message)); }
+  void send_message(const Message& message) const { write(serialize_message(message)); }
   /// The same to a peer that may have closed.
-  void try_say(const Message& message) const {
+  void try_send_message(const Message& message) const {
     const auto bytes = serialize_message(message);
     (void)!::send(descriptor_, bytes.data(), bytes.size(), MSG_NOSIGNAL);
   }
   /// True when nothing more comes but the end.
-  bool closed() {
+  bool read_until_closed() {
     while (fill()) {
     }
     return true;
   }
-  [[nodiscard]] bool quiet(int wait_ms) const { return input_.empty() && !readable(descriptor_, wait_ms); }
+  [[nodiscard]] bool no_input_within(int wait_ms) const {
+    return input_.empty() && !readable(descriptor_, wait_ms);
+  }
   [[nodiscard]] int descriptor() const { return descriptor_; }
 
   // datagrams
@@ -144,7 +146,7 @@
                      sizeof address) == static_cast<ssize_t>(bytes.size()));
   }
   std::string receive(Address* from = nullptr) const {
-    REQUIRE(readable(descriptor_, patience_ms));
+    REQUIRE(readable(descriptor_, wait_timeout_ms));
     std::string bytes(65535, '\0');
     sockaddr_in in{};
     socklen_t length = sizeof in;
@@ -167,7 +169,7 @@
     return out;
   }
   bool fill() {
-    REQUIRE(readable(descriptor_, patience_ms));
+    REQUIRE(readable(descriptor_, wait_timeout_ms));
     char buffer[4096];
     const auto got = ::recv(descriptor_, buffer, sizeof buffer, 0);
     if (got <= 0) return false;
@@ -210,7 +212,7 @@
     ::close(output_);
   }
   /// The rest of the first line, from here on, that holds `words`.
-  std::string log(const std::string& words) {
+  std::string wait_for_log(const std::string& words) {
     while (true) {
       while (true) {
         const auto end = text_.find('\n');
@@ -225,16 +227,18 @@
     }
   }
   /// All that it says until it closes its output.
-  std::string rest() {
+  std::string read_remaining_output() {
     while (fill()) {
     }
     return std::exchange(text_, "");
   }
-  Address listening(const std::string& side) { return *Address::parse(log("side=" + side + " at=")); }
+  Address wait_for_listening_address(const std::string& side) {
+    return *Address::parse(wait_for_log("side=" + side + " at="));
+  }
   void signal(int number) const { ::kill(pid_, number); }
-  /// The same as wait(), with nothing of its output read.
-  int wait_unread() {
-    const double until = now_ms() + patience_ms;
+  /// The same as wait_for_exit(), with nothing of its output read.
+  int wait_for_exit_without_reading() {
+    const double until = now_ms() + wait_timeout_ms;
     int status = 0;
     while (::waitpid(pid_, &status, WNOHANG) == 0) {
       REQUIRE(now_ms() < until);
@@ -244,8 +248,8 @@
     return WIFEXITED(status) ? WEXITSTATUS(status) : -1;
   }
   /// Its exit status; -1 when a signal ended it.
-  int wait() {
-    const double until = now_ms() + patience_ms;
+  int wait_for_exit() {
+    const double until = now_ms() + wait_timeout_ms;
     int status = 0;
     // Its output is read on, so that it never stands on a full pipe.
     while (::waitpid(pid_, &status, WNOHANG) == 0) {
@@ -259,7 +263,7 @@
 
  private:
   bool fill() {
-    REQUIRE(readable(output_, patience_ms));
+    REQUIRE(readable(output_, wait_timeout_ms));
     char buffer[4096];
     const auto got = ::read(output_, buffer, sizeof buffer);
     if (got > 0) text_.append(buffer, static_cast<std::size_t>(got));
--- a/tests/router/platform_test.cpp
+++ b/tests/router/platform_test.cpp
@@ -1,7 +1,7 @@
 // Tests of the platform service: the program runs as a process, and the tests act as its callers, converters
 // and event bus.
 #include "net/framing.hpp"
-#include "stand_in.hpp"
+#include "network_helpers.hpp"
 
 namespace heathturn::test {
 namespace {
@@ -32,7 +32,7 @@
     config = std::make_unique<TempFile>(config_text());
     program =
         std::make_unique<Process>(std::vector<std::string>{"serve", "--config", config->path()}, descriptors);
-    caller_address = program->listening("caller");
+    caller_address = program->wait_for_listening_address("caller");
   }
   /// The configuration, with the current address of the bus.
   [[nodiscard]] std::string config_text() const {
@@ -62,7 +62,7 @@
     Message state;
     state.op = Op::group;
     state.fields = {{"load", "x0:" + std::to_string(free_circuits) + ";x1:10"}};
-    connection.say(state);
+    connection.send_message(state);
     return connection;
   }
   static Message make_offer(const std::string& call_id, int left_ms = 3000, int destination = 1) {
@@ -86,10 +86,10 @@
   }
   /// Establishes a call from `caller` to converter 1.
   void establish_call(Socket& caller, const std::string& call_id) {
-    caller.say(make_offer(call_id));
-    CHECK(converter_connections[0].message().call_id == call_id);
-    converter_connections[0].say(make_message(Op::accept, call_id));
-    CHECK(caller.message().op == Op::accept);
+    caller.send_message(make_offer(call_id));
+    CHECK(converter_connections[0].read_message().call_id == call_id);
+    converter_connections[0].send_message(make_message(Op::accept, call_id));
+    CHECK(caller.read_message().op == Op::accept);
   }
 };
 
@@ -99,9 +99,9 @@
   const auto offer = PlatformFixture::make_offer(call_a);
   const auto bytes = serialize_message(offer);
   caller.write(bytes.substr(0, 20));  // a line may arrive in parts
-  CHECK(platform.converter_connections[0].quiet(50));
+  CHECK(platform.converter_connections[0].no_input_within(50));
   caller.write(bytes.substr(20));
-  const auto sent = platform.converter_connections[0].message();
+  const auto sent = platform.converter_connections[0].read_message();
   CHECK(sent.op == Op::offer);
   CHECK(sent.call_id == call_a);
   CHECK(*sent.field("class") == "voice");
@@ -109,30 +109,30 @@
   CHECK(sent.number("left", 0) > 300);
   CHECK(sent.number("left", 0) < 3000);
   CHECK(sent.description == offer.description);
-  platform.converter_connections[0].say(PlatformFixture::make_message(Op::ringing, call_a));
-  platform.converter_connections[0].say(PlatformFixture::make_message(Op::accept, call_a));
-  const auto answer = caller.message();
+  platform.converter_connections[0].send_message(PlatformFixture::make_message(Op::ringing, call_a));
+  platform.converter_connections[0].send_message(PlatformFixture::make_message(Op::accept, call_a));
+  const auto answer = caller.read_message();
   CHECK(answer.op == Op::accept);
   CHECK(answer.description == "answer\r\nto " + call_a);
-  platform.converter_connections[0].say(PlatformFixture::make_message(Op::end, call_a, 16));
-  const auto end = caller.message();
+  platform.converter_connections[0].send_message(PlatformFixture::make_message(Op::end, call_a, 16));
+  const auto end = caller.read_message();
   CHECK(end.op == Op::end);
   CHECK(end.code == 16);
-  CHECK(caller.quiet(100));
+  CHECK(caller.no_input_within(100));
 }
 
 TEST_CASE("a refusal by a full processor reaches the caller with a retry time") {
   PlatformFixture platform;
   auto caller = Socket::connect(platform.caller_address);
-  caller.say(PlatformFixture::make_offer(call_a, 800));
-  CHECK(platform.converter_connections[0].message().call_id == call_a);
+  caller.send_message(PlatformFixture::make_offer(call_a, 800));
+  CHECK(platform.converter_connections[0].read_message().call_id == call_a);
   auto refusal = PlatformFixture::make_message(Op::end, call_a, 34);
   refusal.fields = {{"note", "cpu_full"}, {"waited", "5000"}};
-  platform.converter_connections[0].say(refusal);
-  const auto end = caller.message();
+  platform.converter_connections[0].send_message(refusal);
+  const auto end = caller.read_message();
   CHECK(end.code == cause::congestion);
   CHECK(end.number("wait", 0) == 2000);
-  CHECK(platform.converter_connections[0].quiet(20));
+  CHECK(platform.converter_connections[0].no_input_within(20));
 }
 
 TEST_CASE("an invalid line ends its connection with a reason and affects no other") {
@@ -146,12 +146,12 @@
   for (const auto& [text, why] : cases) {
     auto caller = Socket::connect(platform.caller_address);
     caller.write(text);
-    CHECK(caller.closed());
-    CHECK(platform.program->log("side=caller").find("reason=" + why + " ") != std::string::npos);
+    CHECK(caller.read_until_closed());
+    CHECK(platform.program->wait_for_log("side=caller").find("reason=" + why + " ") != std::string::npos);
   }
   platform.converter_connections[1].write(std::string(17000, 'x'));
-  CHECK(platform.converter_connections[1].closed());
-  CHECK(platform.program->log("side=converter").find("reason=over_long") != std::string::npos);
+  CHECK(platform.converter_connections[1].read_until_closed());
+  CHECK(platform.program->wait_for_log("side=converter").find("reason=over_long") != std::string::npos);
   auto caller = Socket::connect(platform.caller_address);
   platform.establish_call(caller, call_b);
 }
@@ -179,48 +179,48 @@
     auto offer = PlatformFixture::make_offer("00000000000000" + std::to_string(10 + number++));
     std::erase_if(offer.fields, [&name = name](const auto& each) { return each.first == name; });
     offer.fields.emplace_back(name, value);
-    caller.say(offer);
-    const auto reply = caller.message();
+    caller.send_message(offer);
+    const auto reply = caller.read_message();
     CHECK(reply.call_id == offer.call_id);
     CHECK(reply.code == cause::error);
   }
-  CHECK(platform.converter_connections[0].quiet(20));
+  CHECK(platform.converter_connections[0].no_input_within(20));
   platform.establish_call(caller, call_a);
   // A caller that keeps sending invalid set-ups is disconnected.
   auto invalid_offer = PlatformFixture::make_offer(call_b);
   invalid_offer.fields[0].second = "voice_x";
-  do caller.try_say(invalid_offer);
-  while (!caller.line().empty());
-  CHECK(platform.program->log("side=caller").find("reason=malformed") != std::string::npos);
+  do caller.try_send_message(invalid_offer);
+  while (!caller.read_line().empty());
+  CHECK(platform.program->wait_for_log("side=caller").find("reason=malformed") != std::string::npos);
 }
 
 TEST_CASE("another connection that uses an open call's id neither gets its answer nor ends it") {
   PlatformFixture platform;
   auto caller = Socket::connect(platform.caller_address),
        other_caller = Socket::connect(platform.caller_address);
-  caller.say(PlatformFixture::make_offer(call_a));
-  CHECK(platform.converter_connections[0].message().call_id == call_a);
+  caller.send_message(PlatformFixture::make_offer(call_a));
+  CHECK(platform.converter_connections[0].read_message().call_id == call_a);
   auto duplicate = PlatformFixture::make_offer(call_a);
   duplicate.description = "another description";
-  other_caller.say(duplicate);
-  CHECK(other_caller.message().code == cause::error);
-  other_caller.say(PlatformFixture::make_message(Op::end, call_a, 16));
-  CHECK(parse_message(other_caller.line()).op == Op::ended);
-  platform.converter_connections[0].say(PlatformFixture::make_message(Op::accept, call_a));
-  CHECK(caller.message().op == Op::accept);
-  CHECK(other_caller.quiet(50));
+  other_caller.send_message(duplicate);
+  CHECK(other_caller.read_message().code == cause::error);
+  other_caller.send_message(PlatformFixture::make_message(Op::end, call_a, 16));
+  CHECK(parse_message(other_caller.read_line()).op == Op::ended);
+  platform.converter_connections[0].send_message(PlatformFixture::make_message(Op::accept, call_a));
+  CHECK(caller.read_message().op == Op::accept);
+  CHECK(other_caller.no_input_within(50));
   // On one connection a duplicate id is an error: it would be unclear which set-up an answer belongs to.
-  caller.say(PlatformFixture::make_offer(call_b));
-  caller.say(PlatformFixture::make_offer(call_b));
-  CHECK(caller.closed());
+  caller.send_message(PlatformFixture::make_offer(call_b));
+  caller.send_message(PlatformFixture::make_offer(call_b));
+  CHECK(caller.read_until_closed());
 }
 
 TEST_CASE("requests beyond the limit set by the memory are refused at once with a retry time") {
   PlatformFixture platform(true, 1024, 1024, 8);  // memory for 128 requests
   auto caller = Socket::connect(platform.caller_address);
   for (int i = 0; i < 129; ++i)
-    caller.say(PlatformFixture::make_offer("000000000000" + std::to_string(1000 + i)));
-  const auto refusal = caller.message();
+    caller.send_message(PlatformFixture::make_offer("000000000000" + std::to_string(1000 + i)));
+  const auto refusal = caller.read_message();
   CHECK(refusal.call_id == "0000000000001128");
   CHECK(refusal.code == cause::congestion);
   CHECK(refusal.number("wait", 0) == 1000);
@@ -229,22 +229,22 @@
 TEST_CASE("idle connections are closed to make room for new ones, but not while a request is open") {
   PlatformFixture platform(true, 1024, 16);  // 8 of these sockets are for callers
   auto pending_caller = Socket::connect(platform.caller_address);
-  pending_caller.say(PlatformFixture::make_offer(call_a, 3000, 2));
-  CHECK(platform.converter_connections[1].message().call_id == call_a);
+  pending_caller.send_message(PlatformFixture::make_offer(call_a, 3000, 2));
+  CHECK(platform.converter_connections[1].read_message().call_id == call_a);
   auto served_caller = Socket::connect(platform.caller_address);
   platform.establish_call(served_caller, call_b);
   std::vector<Socket> idle_connections;
   for (int i = 0; i < 30; ++i) idle_connections.push_back(Socket::connect(platform.caller_address));
   auto new_caller = Socket::connect(platform.caller_address);
   platform.establish_call(new_caller, "00000000000000c3");
-  platform.converter_connections[1].say(PlatformFixture::make_message(Op::accept, call_a));
-  CHECK(pending_caller.message().op == Op::accept);
-  platform.converter_connections[0].say(PlatformFixture::make_message(Op::end, call_b, 16));
+  platform.converter_connections[1].send_message(PlatformFixture::make_message(Op::accept, call_a));
+  CHECK(pending_caller.read_message().op == Op::accept);
+  platform.converter_connections[0].send_message(PlatformFixture::make_message(Op::end, call_b, 16));
   // Silent connections are closed before one that was served.
-  CHECK(served_caller.message().call_id == call_b);
+  CHECK(served_caller.read_message().call_id == call_b);
   // A connection that never sends a message is closed even without need for room.
   const double started_ms = now_ms();
-  CHECK(idle_connections.back().closed());
+  CHECK(idle_connections.back().read_until_closed());
   CHECK(now_ms() - started_ms < 3000);
 }
 
@@ -254,30 +254,30 @@
        acknowledging_caller = Socket::connect(platform.caller_address);
   platform.establish_call(acknowledging_caller, call_b);
   platform.establish_call(silent_caller, call_a);
-  platform.converter_connections[0].say(PlatformFixture::make_message(Op::end, call_b, 16));
-  CHECK(acknowledging_caller.message().call_id == call_b);
-  acknowledging_caller.say(PlatformFixture::make_message(Op::ended, call_b));
-  platform.converter_connections[0].say(PlatformFixture::make_message(Op::end, call_a, 16));
-  CHECK(silent_caller.message().call_id == call_a);
-  CHECK(acknowledging_caller.message().call_id == call_a);
-  acknowledging_caller.say(PlatformFixture::make_message(Op::ended, call_a));
-  CHECK(silent_caller.quiet(400));
+  platform.converter_connections[0].send_message(PlatformFixture::make_message(Op::end, call_b, 16));
+  CHECK(acknowledging_caller.read_message().call_id == call_b);
+  acknowledging_caller.send_message(PlatformFixture::make_message(Op::ended, call_b));
+  platform.converter_connections[0].send_message(PlatformFixture::make_message(Op::end, call_a, 16));
+  CHECK(silent_caller.read_message().call_id == call_a);
+  CHECK(acknowledging_caller.read_message().call_id == call_a);
+  acknowledging_caller.send_message(PlatformFixture::make_message(Op::ended, call_a));
+  CHECK(silent_caller.no_input_within(400));
 }
 
 TEST_CASE("a peer that resets, or leaves before its answer, ends only its own calls") {
   PlatformFixture platform;
   {
     auto leaving_caller = Socket::connect(platform.caller_address);
-    leaving_caller.say(PlatformFixture::make_offer(call_a));
-    CHECK(platform.converter_connections[0].message().call_id == call_a);
+    leaving_caller.send_message(PlatformFixture::make_offer(call_a));
+    CHECK(platform.converter_connections[0].read_message().call_id == call_a);
     leaving_caller.reset();
   }
-  const auto release = platform.converter_connections[0].message();  // no caller waits for it any more
+  const auto release = platform.converter_connections[0].read_message();  // no caller waits for it any more
   CHECK(release.op == Op::end);
   CHECK(release.call_id == call_a);
   // The converter accepted before the release arrived.
-  platform.converter_connections[0].say(PlatformFixture::make_message(Op::accept, call_a));
-  CHECK(platform.converter_connections[0].message().op == Op::end);
+  platform.converter_connections[0].send_message(PlatformFixture::make_message(Op::accept, call_a));
+  CHECK(platform.converter_connections[0].read_message().op == Op::end);
   auto caller = Socket::connect(platform.caller_address);
   platform.establish_call(caller, call_b);
 }
@@ -291,7 +291,7 @@
   const auto line = serialize_message(test);
   ::fcntl(slow_caller.descriptor(), F_SETFL, O_NONBLOCK);
   // Its answers queue up in the program, which must end this connection for the loop to end in time.
-  const double deadline_ms = now_ms() + patience_ms;
+  const double deadline_ms = now_ms() + wait_timeout_ms;
   std::size_t sent = 0;
   while (now_ms() < deadline_ms) {
     const auto result =
@@ -299,7 +299,7 @@
     if (result < 0 && errno != EAGAIN) break;
     if (result > 0) sent = (sent + static_cast<std::size_t>(result)) % line.size();
   }
-  CHECK(platform.program->log("side=caller").find("reason=slow_reader") != std::string::npos);
+  CHECK(platform.program->wait_for_log("side=caller").find("reason=slow_reader") != std::string::npos);
   auto caller = Socket::connect(platform.caller_address);
   platform.establish_call(caller, call_b);
 }
@@ -308,24 +308,24 @@
   PlatformFixture platform(false, 24);
   std::vector<Socket> idle_connections;
   for (int i = 0; i < 30; ++i) idle_connections.push_back(Socket::connect(platform.caller_address));
-  platform.program->log("event=accept_failed side=caller");
+  platform.program->wait_for_log("event=accept_failed side=caller");
   idle_connections.clear();
   auto caller = Socket::connect(platform.caller_address);
-  caller.say(PlatformFixture::make_message(Op::test, call_a, 0));
-  CHECK(parse_message(caller.line()).op == Op::tested);
+  caller.send_message(PlatformFixture::make_message(Op::test, call_a, 0));
+  CHECK(parse_message(caller.read_line()).op == Op::tested);
 }
 
 TEST_CASE("a silent converter gets one attempt at a time, and the caller its answer in time") {
   PlatformFixture platform;
   auto caller = Socket::connect(platform.caller_address);
   const double started_ms = now_ms();
-  caller.say(PlatformFixture::make_offer(call_a, 1500));
+  caller.send_message(PlatformFixture::make_offer(call_a, 1500));
   bool attempt_open = false;
   double attempt_ended_ms = 0;
   int attempts = 0;
-  while (caller.quiet(0)) {
+  while (caller.no_input_within(0)) {
     if (!readable(platform.converter_connections[0].descriptor(), 5)) continue;
-    const auto message = platform.converter_connections[0].message();
+    const auto message = platform.converter_connections[0].read_message();
     CHECK(message.call_id == call_a);
     if (message.op == Op::offer) {
       ++attempts;
@@ -338,7 +338,7 @@
     attempt_open = message.op == Op::offer;
   }
   CHECK(now_ms() - started_ms < 1500);
-  CHECK(caller.message().op == Op::end);
+  CHECK(caller.read_message().op == Op::end);
   CHECK(attempts >= 1);
 }
 
@@ -346,8 +346,8 @@
   PlatformFixture platform(false);
   platform.converter_listeners[0].close();
   auto caller = Socket::connect(platform.caller_address);
-  caller.say(PlatformFixture::make_offer(call_a, 1000));
-  CHECK(caller.message().code == cause::congestion);
+  caller.send_message(PlatformFixture::make_offer(call_a, 1000));
+  CHECK(caller.read_message().code == cause::congestion);
 }
 
 TEST_CASE("an established call outlives its connections on both sides") {
@@ -358,14 +358,14 @@
   }
   platform.converter_connections[0].reset();
   auto new_connection = PlatformFixture::accept_as_converter(platform.converter_listeners[0]);
-  new_connection.say(PlatformFixture::make_message(Op::end, call_a, 16));
+  new_connection.send_message(PlatformFixture::make_message(Op::end, call_a, 16));
   // The connection of a readiness test must not get the release: its peer expects only the result.
   auto test_connection = Socket::connect(platform.caller_address);
-  test_connection.say(PlatformFixture::make_message(Op::test, call_b, 0));
-  CHECK(parse_message(test_connection.line()).op == Op::tested);
-  CHECK(test_connection.quiet(200));
+  test_connection.send_message(PlatformFixture::make_message(Op::test, call_b, 0));
+  CHECK(parse_message(test_connection.read_line()).op == Op::tested);
+  CHECK(test_connection.no_input_within(200));
   auto other_caller = Socket::connect(platform.caller_address);
-  const auto end = other_caller.message();
+  const auto end = other_caller.read_message();
   CHECK(end.call_id == call_a);
   CHECK(end.code == 16);
 }
@@ -374,26 +374,28 @@
   PlatformFixture platform;
   auto second_connection = PlatformFixture::accept_as_converter(platform.converter_listeners[0]);
   auto caller = Socket::connect(platform.caller_address);
-  caller.say(PlatformFixture::make_offer(call_a));
-  while (platform.converter_connections[0].quiet(0) && second_connection.quiet(5)) {
+  caller.send_message(PlatformFixture::make_offer(call_a));
+  while (platform.converter_connections[0].no_input_within(0) && second_connection.no_input_within(5)) {
   }
-  auto& silent_connection =
-      platform.converter_connections[0].quiet(0) ? second_connection : platform.converter_connections[0];
-  auto& answering_connection =
-      platform.converter_connections[0].quiet(0) ? platform.converter_connections[0] : second_connection;
-  CHECK(silent_connection.message().call_id == call_a);
-  silent_connection.say(PlatformFixture::make_message(Op::accept, call_a));
-  CHECK(caller.message().op == Op::accept);
+  auto& silent_connection = platform.converter_connections[0].no_input_within(0)
+                                ? second_connection
+                                : platform.converter_connections[0];
+  auto& answering_connection = platform.converter_connections[0].no_input_within(0)
+                                   ? platform.converter_connections[0]
+                                   : second_connection;
+  CHECK(silent_connection.read_message().call_id == call_a);
+  silent_connection.send_message(PlatformFixture::make_message(Op::accept, call_a));
+  CHECK(caller.read_message().op == Op::accept);
   // Both connections are tested, and only one answers.
-  auto test = parse_message(answering_connection.line());
+  auto test = parse_message(answering_connection.read_line());
   CHECK(test.op == Op::test);
   test.op = Op::tested;
   test.code = 1;
-  answering_connection.say(test);
-  CHECK(platform.program->log("side=converter").find("reason=silent") != std::string::npos);
-  CHECK(silent_connection.closed());
-  answering_connection.say(PlatformFixture::make_message(Op::end, call_a, 16));
-  CHECK(caller.message().code == 16);
+  answering_connection.send_message(test);
+  CHECK(platform.program->wait_for_log("side=converter").find("reason=silent") != std::string::npos);
+  CHECK(silent_connection.read_until_closed());
+  answering_connection.send_message(PlatformFixture::make_message(Op::end, call_a, 16));
+  CHECK(caller.read_message().code == 16);
 }
 
 TEST_CASE("a connection without the group states that the other one delivers is replaced soon") {
@@ -405,11 +407,12 @@
   state.op = Op::group;
   state.fields = {{"load", "x0:9;x1:10"}};
   const double started_ms = now_ms();
-  do second_connection.say(state);
-  while (platform.converter_connections[0].quiet(50) || !platform.converter_connections[0].line().empty());
+  do second_connection.send_message(state);
+  while (platform.converter_connections[0].no_input_within(50) ||
+         !platform.converter_connections[0].read_line().empty());
   CHECK(now_ms() - started_ms < 1500);
-  caller.say(PlatformFixture::make_offer(call_b));
-  CHECK(second_connection.message().call_id == call_b);
+  caller.send_message(PlatformFixture::make_offer(call_b));
+  CHECK(second_connection.read_message().call_id == call_b);
 }
 
 TEST_CASE("an older group state from the other connection does not replace the newer one") {
@@ -418,10 +421,10 @@
   platform.establish_call(caller, call_a);  // by now the state reported on the first connection is in use
   auto second_connection = PlatformFixture::accept_as_converter(platform.converter_listeners[0], 0);
   // Sent after the state on the same connection.
-  second_connection.say(PlatformFixture::make_message(Op::end, call_b, 16));
-  CHECK(caller.message().call_id == call_b);
-  caller.say(PlatformFixture::make_offer("00000000000000e5"));
-  CHECK(platform.converter_connections[0].message().call_id == "00000000000000e5");
+  second_connection.send_message(PlatformFixture::make_message(Op::end, call_b, 16));
+  CHECK(caller.read_message().call_id == call_b);
+  caller.send_message(PlatformFixture::make_offer("00000000000000e5"));
+  CHECK(platform.converter_connections[0].read_message().call_id == "00000000000000e5");
 }
 
 TEST_CASE("a converter that stays unreachable has its calls ended") {
@@ -431,7 +434,7 @@
   const double started_ms = now_ms();
   platform.converter_listeners[0].close();
   platform.converter_connections[0].reset();
-  const auto end = caller.message();
+  const auto end = caller.read_message();
   CHECK(end.code == cause::temporary_failure);
   CHECK(now_ms() - started_ms < 8000);
 }
@@ -441,12 +444,12 @@
   auto caller = Socket::connect(platform.caller_address);
   platform.establish_call(caller, call_a);
   const double started_ms = now_ms();
-  auto test = parse_message(platform.converter_connections[0].line());
+  auto test = parse_message(platform.converter_connections[0].read_line());
   REQUIRE(test.op == Op::test);
   test.op = Op::tested;
   test.code = 0;
-  platform.converter_connections[0].say(test);
-  CHECK(caller.message().code == cause::temporary_failure);
+  platform.converter_connections[0].send_message(test);
+  CHECK(caller.read_message().code == cause::temporary_failure);
   CHECK(now_ms() - started_ms < 7000);
 }
 
@@ -455,14 +458,14 @@
   auto caller = Socket::connect(platform.caller_address);
   platform.establish_call(caller, call_a);
   platform.converter_connections[0].reset();
-  caller.say(PlatformFixture::make_message(Op::end, call_a, 16));
+  caller.send_message(PlatformFixture::make_message(Op::end, call_a, 16));
   // Whether it was sent before or after the reset was detected, a new connection must carry it.
   auto new_connection = PlatformFixture::accept_as_converter(platform.converter_listeners[0]);
-  while (new_connection.quiet(0) && platform.converter_listeners[0].quiet(5)) {
+  while (new_connection.no_input_within(0) && platform.converter_listeners[0].no_input_within(5)) {
   }
-  if (new_connection.quiet(0))
+  if (new_connection.no_input_within(0))
     new_connection = PlatformFixture::accept_as_converter(platform.converter_listeners[0]);
-  const auto end = new_connection.message();
+  const auto end = new_connection.read_message();
   CHECK(end.op == Op::end);
   CHECK(end.call_id == call_a);
 }
@@ -471,16 +474,16 @@
   PlatformFixture platform;
   auto caller = Socket::connect(platform.caller_address);
   // A late refusal, whose caller was answered long ago.
-  platform.converter_connections[0].say(PlatformFixture::make_message(Op::end, call_b, 34));
-  platform.converter_connections[0].say(PlatformFixture::make_message(Op::end, call_a, 16));
-  const auto end = caller.message();
+  platform.converter_connections[0].send_message(PlatformFixture::make_message(Op::end, call_b, 34));
+  platform.converter_connections[0].send_message(PlatformFixture::make_message(Op::end, call_a, 16));
+  const auto end = caller.read_message();
   CHECK(end.call_id == call_a);
   CHECK(end.code == 16);
-  platform.converter_connections[0].say(PlatformFixture::make_message(Op::end, call_a, 16));
-  CHECK(caller.quiet(100));  // released only once
+  platform.converter_connections[0].send_message(PlatformFixture::make_message(Op::end, call_a, 16));
+  CHECK(caller.no_input_within(100));  // released only once
   // A caller's release of a call unknown here is sent to the converters, one of which may have it.
-  caller.say(PlatformFixture::make_message(Op::end, "00000000000000c3", 16));
-  CHECK(platform.converter_connections[0].message().call_id == "00000000000000c3");
+  caller.send_message(PlatformFixture::make_message(Op::end, "00000000000000c3", 16));
+  CHECK(platform.converter_connections[0].read_message().call_id == "00000000000000c3");
 }
 
 TEST_CASE("a flood of releases for unknown calls is limited before it reaches the converters") {
@@ -493,14 +496,14 @@
         PlatformFixture::make_message(Op::end, "000000000000" + std::to_string(1000 + i), 16));
   }
   flooding_caller.write(releases);
-  for (int i = 0; i < 2000; ++i) CHECK(parse_message(flooding_caller.line()).op == Op::ended);
-  caller.say(PlatformFixture::make_offer(call_b));
+  for (int i = 0; i < 2000; ++i) CHECK(parse_message(flooding_caller.read_line()).op == Op::ended);
+  caller.send_message(PlatformFixture::make_offer(call_b));
   int forwarded = 0;
-  while (platform.converter_connections[0].message().op == Op::end) ++forwarded;
+  while (platform.converter_connections[0].read_message().op == Op::end) ++forwarded;
   CHECK(forwarded >= 100);
   CHECK(forwarded < 1500);
-  platform.converter_connections[0].say(PlatformFixture::make_message(Op::accept, call_b));
-  CHECK(caller.message().op == Op::accept);
+  platform.converter_connections[0].send_message(PlatformFixture::make_message(Op::accept, call_b));
+  CHECK(caller.read_message().op == Op::accept);
 }
 
 // ---- The event bus --------------------------------------------------------------------------------------
@@ -528,7 +531,7 @@
     "a drain event stops new attempts; after a reset or silence the bus is read from the last event on") {
   PlatformFixture platform;
   auto bus_connection = platform.bus_listener.accept();
-  CHECK(big_endian(bus_connection.take(8), 0, 8) == 3);
+  CHECK(big_endian(bus_connection.read_bytes(8), 0, 8) == 3);
   const auto drain = frame(4, 2, 1, 1, platform.converter_listeners[0].address());
   bus_connection.write(drain.substr(0, 7));  // a frame may arrive in parts
   bus_connection.write(drain.substr(7));
@@ -536,23 +539,24 @@
   Message reply;
   // The event and the set-ups use separate connections: from some call on, no attempt may be sent there.
   for (int i = 0; i < 100; ++i) {
-    caller.say(PlatformFixture::make_offer("00000000000001" + std::to_string(10 + i % 90), 300));
-    reply = caller.message();
-    if (platform.converter_connections[0].quiet(0)) break;
-    while (!platform.converter_connections[0].quiet(0)) (void)platform.converter_connections[0].message();
+    caller.send_message(PlatformFixture::make_offer("00000000000001" + std::to_string(10 + i % 90), 300));
+    reply = caller.read_message();
+    if (platform.converter_connections[0].no_input_within(0)) break;
+    while (!platform.converter_connections[0].no_input_within(0))
+      (void)platform.converter_connections[0].read_message();
   }
-  CHECK(platform.converter_connections[0].quiet(0));
+  CHECK(platform.converter_connections[0].no_input_within(0));
   CHECK(reply.op == Op::end);
   bus_connection.reset();
   bus_connection = platform.bus_listener.accept();
-  CHECK(big_endian(bus_connection.take(8), 0, 8) == 4);
+  CHECK(big_endian(bus_connection.read_bytes(8), 0, 8) == 4);
   bus_connection.write(frame(5, 0));
   auto second_connection = platform.bus_listener.accept();  // the first connection was silent for too long
-  CHECK(big_endian(second_connection.take(8), 0, 8) == 4);
+  CHECK(big_endian(second_connection.read_bytes(8), 0, 8) == 4);
   second_connection.write("\xff\xff\xff\xff");
-  CHECK(second_connection.closed());
+  CHECK(second_connection.read_until_closed());
   auto third_connection = platform.bus_listener.accept();
-  third_connection.take(8);
+  third_connection.read_bytes(8);
   third_connection.write(frame(6, 2, 1, 0, platform.converter_listeners[0].address()));
   // An old event, repeated.
   third_connection.write(frame(5, 2, 1, 2, platform.converter_listeners[0].address()));
@@ -565,15 +569,15 @@
   auto caller = Socket::connect(platform.caller_address);
   platform.establish_call(caller, call_a);
   bus_connection.write(frame(4, 2, 1, 2, platform.converter_listeners[0].address()));
-  CHECK(caller.message().code == cause::temporary_failure);
-  CHECK(platform.converter_connections[0].closed());
+  CHECK(caller.read_message().code == cause::temporary_failure);
+  CHECK(platform.converter_connections[0].read_until_closed());
   // The second connection to the old converter.
   auto second_connection = platform.converter_listeners[0].accept();
-  CHECK(second_connection.closed());
+  CHECK(second_connection.read_until_closed());
   bus_connection.write(frame(5, 2, 9, 0, platform.converter_listeners[0].address()));
   auto successor_connection = PlatformFixture::accept_as_converter(platform.converter_listeners[0]);
-  caller.say(PlatformFixture::make_offer(call_b, 3000, 9));
-  CHECK(successor_connection.message().call_id == call_b);
+  caller.send_message(PlatformFixture::make_offer(call_b, 3000, 9));
+  CHECK(successor_connection.read_message().call_id == call_b);
 }
 
 // ---- Reload ---------------------------------------------------------------------------------------------
@@ -581,33 +585,34 @@
 TEST_CASE("SIGHUP: the bus is read at its new address from the last event on, and no call is lost") {
   PlatformFixture platform;
   auto old_bus_connection = platform.bus_listener.accept();
-  old_bus_connection.take(8);
+  old_bus_connection.read_bytes(8);
   old_bus_connection.write(frame(7, 0) + frame(4, 2, 2, 0, platform.converter_listeners[1].address()));
   auto caller = Socket::connect(platform.caller_address);
   platform.establish_call(caller, call_a);
-  caller.say(PlatformFixture::make_offer(call_b));
-  CHECK(platform.converter_connections[0].message().call_id == call_b);
+  caller.send_message(PlatformFixture::make_offer(call_b));
+  CHECK(platform.converter_connections[0].read_message().call_id == call_b);
   platform.bus_listener = Socket::bound(SOCK_STREAM);
   platform.config->write(platform.config_text());
   platform.program->signal(SIGHUP);
   auto bus_connection = platform.bus_listener.accept();
-  CHECK(big_endian(bus_connection.take(8), 0, 8) == 4);
-  CHECK(old_bus_connection.closed());
-  platform.converter_connections[0].say(PlatformFixture::make_message(Op::accept, call_b));
-  CHECK(caller.message().call_id == call_b);
+  CHECK(big_endian(bus_connection.read_bytes(8), 0, 8) == 4);
+  CHECK(old_bus_connection.read_until_closed());
+  platform.converter_connections[0].send_message(PlatformFixture::make_message(Op::accept, call_b));
+  CHECK(caller.read_message().call_id == call_b);
   // An invalid configuration changes nothing, and the log names the invalid key.
   platform.config->write(R"({"listen":"127.0.0.1:0","bus":"nowhere"})");
   platform.program->signal(SIGHUP);
-  CHECK(platform.program->log("event=configuration_kept").find("bus is not an address") != std::string::npos);
+  CHECK(platform.program->wait_for_log("event=configuration_kept").find("bus is not an address") !=
+        std::string::npos);
   platform.config->write("{\"listen\":");
   platform.program->signal(SIGHUP);
-  CHECK(platform.program->log("event=configuration_kept").find("not JSON") != std::string::npos);
+  CHECK(platform.program->wait_for_log("event=configuration_kept").find("not JSON") != std::string::npos);
   bus_connection.write(frame(5, 2, 9, 0, platform.converter_listeners[1].address()));
-  caller.say(PlatformFixture::make_offer("00000000000000c3", 3000, 9));
+  caller.send_message(PlatformFixture::make_offer("00000000000000c3", 3000, 9));
   // The second connection to converter 2, which must not get the call for number 9.
-  CHECK(PlatformFixture::accept_as_converter(platform.converter_listeners[1]).quiet(0));
-  platform.converter_connections[0].say(PlatformFixture::make_message(Op::end, call_a, 16));
-  CHECK(caller.message().call_id == call_a);
+  CHECK(PlatformFixture::accept_as_converter(platform.converter_listeners[1]).no_input_within(0));
+  platform.converter_connections[0].send_message(PlatformFixture::make_message(Op::end, call_a, 16));
+  CHECK(caller.read_message().call_id == call_a);
 }
 
 // ---- Shutdown and start errors --------------------------------------------------------------------------
@@ -617,26 +622,26 @@
   auto caller = Socket::connect(platform.caller_address);
   platform.establish_call(caller, call_a);
   platform.program->signal(SIGTERM);
-  platform.program->log("draining");
+  platform.program->wait_for_log("draining");
   auto late_caller = Socket::connect(platform.caller_address);
-  late_caller.say(PlatformFixture::make_offer(call_b));
-  CHECK(platform.converter_connections[0].message().call_id == call_b);
+  late_caller.send_message(PlatformFixture::make_offer(call_b));
+  CHECK(platform.converter_connections[0].read_message().call_id == call_b);
   // Afterwards new requests are refused, while this one is open.
   std::this_thread::sleep_for(std::chrono::milliseconds(900));
-  late_caller.say(PlatformFixture::make_offer("00000000000000d4"));
-  CHECK(late_caller.message().code == cause::congestion);
-  platform.converter_connections[0].say(PlatformFixture::make_message(Op::accept, call_b));
-  CHECK(late_caller.message().op == Op::accept);
-  CHECK(platform.program->wait() == 0);
+  late_caller.send_message(PlatformFixture::make_offer("00000000000000d4"));
+  CHECK(late_caller.read_message().code == cause::congestion);
+  platform.converter_connections[0].send_message(PlatformFixture::make_message(Op::accept, call_b));
+  CHECK(late_caller.read_message().op == Op::accept);
+  CHECK(platform.program->wait_for_exit() == 0);
 }
 
 TEST_CASE("configuration errors are logged at start and end the program with status 1") {
   const TempFile bad(R"({"listen":"127.0.0.1:0","settings":{"classes":[]}})");
   Process program({"serve", "--config", bad.path()});
-  program.log("settings: setting ");
-  CHECK(program.wait() == 1);
+  program.wait_for_log("settings: setting ");
+  CHECK(program.wait_for_exit() == 1);
   Process none({"serve"});
-  CHECK(none.wait() == 1);
+  CHECK(none.wait_for_exit() == 1);
 }
 
 }  // namespace
--- a/tests/router/routes_test.cpp
+++ b/tests/router/routes_test.cpp
@@ -7,8 +7,8 @@
 #include <random>
 
 #include "config/site_reader.hpp"
+#include "network_helpers.hpp"
 #include "routes/selector.hpp"
-#include "stand_in.hpp"
 
 namespace heathturn::test {
 namespace {
--- a/tests/router/site_test.cpp
+++ b/tests/router/site_test.cpp
@@ -16,7 +16,7 @@
 /// Waits for the next query at either name server and answers it. Returns the index of the server.
 std::size_t answer_next_query(const EnumFixture& fixture, const std::string& uri = "sip:a@example.org") {
   pollfd both[2] = {{fixture.udp[0].descriptor(), POLLIN, 0}, {fixture.udp[1].descriptor(), POLLIN, 0}};
-  REQUIRE(::poll(both, 2, patience_ms) > 0);
+  REQUIRE(::poll(both, 2, wait_timeout_ms) > 0);
   const std::size_t which = (both[0].revents & POLLIN) != 0 ? 0 : 1;
   const auto query = fixture.receive_query(which);
   fixture.send_reply(which, query, EnumFixture::reply(query.message, uri));
@@ -54,7 +54,7 @@
   put_big_endian(framed, bytes.size(), 2);
   tcp.write(framed + bytes);
   CHECK(answer_next_query(fixture) == 0);
-  CHECK(tcp.take(2).size() == 2);
+  CHECK(tcp.read_bytes(2).size() == 2);
 }
 
 TEST_CASE("a policy limits open look-ups, attempts and the wait between attempts") {
@@ -74,7 +74,7 @@
   fault.rcode = dns::rcode::serv_fail;
   fixture.send_reply(0, first, fault);
   CHECK(fixture.receive_answer().id == 1);  // after its only attempt
-  CHECK(fixture.udp[1].quiet(50));
+  CHECK(fixture.udp[1].no_input_within(50));
   fixture.send_query(EnumFixture::query(EnumFixture::enum_name("1.2"), 3));
   const auto second_query = fixture.receive_query(0);
   const double start_ms = now_ms();
@@ -124,11 +124,11 @@
     fixture.program->signal(SIGHUP);
     send_look_ups(40);
     if (broken) {
-      const auto kept = fixture.program->log("event=configuration_kept front=enum");
+      const auto kept = fixture.program->wait_for_log("event=configuration_kept front=enum");
       CHECK(kept.find(fixture.file->path() + ":") != std::string::npos);
       CHECK(kept.find("no pool is named") != std::string::npos);
     } else {
-      fixture.program->log("event=configuration_taken front=enum");
+      fixture.program->wait_for_log("event=configuration_taken front=enum");
     }
   }
   while (!open_ids.empty()) CHECK(open_ids.erase(fixture.receive_answer().id) == 1);
@@ -149,14 +149,14 @@
   const auto open_query = fixture.receive_query(0);
   fixture.file->write(EnumFixture::site_header() + fixture.with_addresses(two_pools + short_policy + route));
   fixture.program->signal(SIGHUP);
-  fixture.program->log("policy default: deadline 200ms, was 1.5s");
-  fixture.program->log("event=configuration_taken");
+  fixture.program->wait_for_log("policy default: deadline 200ms, was 1.5s");
+  fixture.program->wait_for_log("event=configuration_taken");
   fixture.send_query(EnumFixture::query(EnumFixture::enum_name("2.9"), 2));
   (void)fixture.receive_query(1);
   const auto short_answer = fixture.receive_answer();
   CHECK(short_answer.id == 2);
   CHECK(short_answer.rcode != dns::rcode::no_error);
-  CHECK(fixture.resolver.quiet(std::max(0, static_cast<int>(300 - (now_ms() - start_ms)))));
+  CHECK(fixture.resolver.no_input_within(std::max(0, static_cast<int>(300 - (now_ms() - start_ms)))));
   fixture.send_reply(0, open_query, EnumFixture::reply(open_query.message, "sip:late@example.org"));
   // The decision module may have given up that attempt by now and started another.
   while (!readable(fixture.resolver.descriptor(), 20)) {
@@ -171,7 +171,7 @@
   auto text = EnumFixture::site_header() + fixture.with_addresses(two_pools + policy + route);
   fixture.file->write("console: \"/tmp/none.socket\"\n" + text);
   fixture.program->signal(SIGHUP);
-  CHECK(fixture.program->log("event=configuration_kept")
+  CHECK(fixture.program->wait_for_log("event=configuration_kept")
             .find("; this change requires a restart, so nothing in the file was applied") !=
         std::string::npos);
   fixture.send_query(EnumFixture::query(EnumFixture::enum_name("3.9"), 3));
@@ -196,7 +196,7 @@
     if (i % 200 == 0) check_look_up(i);
   }
   check_look_up(5000);
-  const auto lost = fixture.program->log("event=log_dropped count=");
+  const auto lost = fixture.program->wait_for_log("event=log_dropped count=");
   CHECK(std::stoi(lost) > 0);
   check_look_up(5001);
 }
@@ -205,7 +205,7 @@
   const EnumFixture fixture(two_pools + "route { to { pool: \"p\" } }\n");
   for (int i = 0; i < 4000; ++i) Socket::connect(fixture.server_address).close();
   fixture.program->signal(SIGTERM);
-  CHECK(fixture.program->wait_unread() == 0);
+  CHECK(fixture.program->wait_for_exit_without_reading() == 0);
 }
 
 TEST_CASE("each line of a JSON log is an object with an event; lines below the log level are left out") {
@@ -214,9 +214,9 @@
       "\"m\" "
       "address: \"127.0.0.1:1\" } } route { to { pool: \"p\" } }");
   Process program({"serve", "--site", file.path(), "--log-format", "json"});
-  program.log("\"event\":\"listening\"");
+  program.wait_for_log("\"event\":\"listening\"");
   program.signal(SIGTERM);
-  std::istringstream lines(program.rest());
+  std::istringstream lines(program.read_remaining_output());
   std::vector<std::string> events;
   for (std::string line; std::getline(lines, line);) {
     rapidjson::Document document;
@@ -228,16 +228,17 @@
     events.emplace_back(document["event"].GetString());
   }
   CHECK(events == std::vector<std::string>{"draining", "stopped"});
-  CHECK(program.wait() == 0);
+  CHECK(program.wait_for_exit() == 0);
   const TempFile temp_file("");
   const auto path = temp_file.path() + ".socket";
   Process quiet_program({"serve", "--site", file.path(), "--log-level", "error", "--console", path});
-  for (const double until = now_ms() + patience_ms; ::access(path.c_str(), F_OK) != 0 && now_ms() < until;) {
+  for (const double until = now_ms() + wait_timeout_ms;
+       ::access(path.c_str(), F_OK) != 0 && now_ms() < until;) {
     ::poll(nullptr, 0, 5);
   }
   Process drain_command({"console", "--socket", path, "drain"});
-  CHECK(drain_command.rest() == "draining\n");
-  CHECK(quiet_program.rest().empty());
+  CHECK(drain_command.read_remaining_output() == "draining\n");
+  CHECK(quiet_program.read_remaining_output().empty());
 }
 
 }  // namespace
--- a/tests/router/tls_test.cpp
+++ b/tests/router/tls_test.cpp
@@ -116,8 +116,8 @@
     const auto asked = e.receive_query(0);
     e.send_reply(0, asked, EnumFixture::reply(asked.message, "sip:plain@example.org"));
     CHECK(answer_contains(e.receive_answer(), "sip:plain@example.org"));
-    const auto line = e.program->log(std::string("event=tls_refused converter=secure peer=") +
-                                     server.address().text() + " reason=" + each.reason);
+    const auto line = e.program->wait_for_log(std::string("event=tls_refused converter=secure peer=") +
+                                              server.address().text() + " reason=" + each.reason);
     if (each.behaviour.cut_after == 0 && each.behaviour.highest == TLS1_3_VERSION) {
       CHECK(line.find("CN=a name server") != std::string::npos);
       CHECK(line.find("not_after=20") != std::string::npos);
@@ -134,7 +134,7 @@
     e.send_query(EnumFixture::query(EnumFixture::enum_name("1.1"), 9));
     const auto plain = listener.accept();
     plain.write("HTTP/1.1 400 Bad Request\r\n\r\n");
-    e.program->log("reason=tls_plain_text");
+    e.program->wait_for_log("reason=tls_plain_text");
   }
   const auto listener = Socket::bound(SOCK_STREAM);
   const EnumFixture e(
@@ -142,7 +142,7 @@
       p_then_plain);
   e.send_query(EnumFixture::query(EnumFixture::enum_name("1.1"), 9));
   const auto silent = listener.accept();
-  e.program->log("reason=tls_stalled");
+  e.program->wait_for_log("reason=tls_stalled");
 }
 
 TEST_CASE("a handshake cut off at any byte costs no look-up its answer, and the program goes on") {
@@ -170,22 +170,22 @@
     const EnumFixture e(tls_pool(server.address(), trusting(files)) + to_p);
     for (std::uint16_t id = 1; id <= 4; ++id) {
       CHECK(served(e, id));
-      e.program->log("event=connection_ended side=upstream");
+      e.program->wait_for_log("event=connection_ended side=upstream");
     }
     CHECK(server.full == 1);
     CHECK(server.resumed == 3);
     server.rotate_tickets();
     CHECK(served(e, 5));
-    e.program->log("event=connection_ended side=upstream");
+    e.program->wait_for_log("event=connection_ended side=upstream");
     CHECK(server.full == 2);
     CHECK(served(e, 6));
-    e.program->log("event=connection_ended side=upstream");
+    e.program->wait_for_log("event=connection_ended side=upstream");
     CHECK(server.resumed == 4);
     // Another server has come to the address: nothing of the old one is shown to it.
     e.file->write(EnumFixture::site_header() + tls_pool(server.address(), trusting(files), "successor") +
                   to_p);
     e.program->signal(SIGHUP);
-    e.program->log("event=configuration_taken");
+    e.program->wait_for_log("event=configuration_taken");
     CHECK(served(e, 7));
     CHECK(server.full == 3);
     CHECK(server.resumed == 4);
@@ -212,7 +212,7 @@
     const auto reload = [&](const char* expected) {
       e.program->signal(SIGHUP);
       for (std::uint16_t id = 2; id < 30; ++id) CHECK(served(e, id));
-      return e.program->log(expected);
+      return e.program->wait_for_log(expected);
     };
     files.write("own.key", next.key_pem());
     CHECK(reload("event=configuration_kept").find("the key does not match the certificate") !=
@@ -229,16 +229,16 @@
   {
     const EnumFixture e(tls_pool(server.address(), trusting(files)) + p_then_plain);
     e.send_query(EnumFixture::query(EnumFixture::enum_name("1.1"), 9));
-    e.program->log("reason=tls_alert");
+    e.program->wait_for_log("reason=tls_alert");
   }
   const auto starts = [&](const std::string& tls) {
     const TempFile file(EnumFixture::site_header() + tls_pool(server.address(), tls) + to_p);
     Process program({"serve", "--site", file.path()});
-    const auto said = program.rest();
-    CHECK(program.wait() == 1);
+    const auto said = program.read_remaining_output();
+    CHECK(program.wait_for_exit() == 1);
     Process check({"config", "check", file.path()});
-    CHECK(check.rest().find("pool.p.tls: ") != std::string::npos);
-    CHECK(check.wait() == 1);
+    CHECK(check.read_remaining_output().find("pool.p.tls: ") != std::string::npos);
+    CHECK(check.wait_for_exit() == 1);
     return said;
   };
   CHECK(starts("trust: \"" + files.write("none.pem", "nothing") + "\"").find("it holds no certificate") !=
@@ -258,21 +258,21 @@
   const auto path = place.path() + ".socket";
   const auto status = [&path] {
     Process client({"console", "--socket", path, "status"});
-    return client.rest();
+    return client.read_remaining_output();
   };
   {
     TlsServer server(issue(Wanted{}, &files.root), {.close_after_one = true});
     const EnumFixture e(tls_pool(server.address(), trusting(files)) + to_p, {"--console", path});
     for (std::uint16_t id = 1; id <= 3; ++id) {
       CHECK(served(e, id));
-      e.program->log("event=connection_ended side=upstream");
+      e.program->wait_for_log("event=connection_ended side=upstream");
     }
     CHECK(status().find("enum: handshakes full 1, resumed 2, declined 0, failed 0") != std::string::npos);
   }
   TlsServer wrong(issue(Wanted{}), {});
   const EnumFixture e(tls_pool(wrong.address(), trusting(files)) + p_then_plain, {"--console", path});
   e.send_query(EnumFixture::query(EnumFixture::enum_name("1.1"), 9));
-  e.program->log("event=tls_refused");
+  e.program->wait_for_log("event=tls_refused");
   CHECK(status().find("enum: tls_self_signed ") != std::string::npos);
 }
 
@@ -283,8 +283,8 @@
   const EnumFixture e(tls_pool(server.address(), tls) + to_p);
   CHECK(served(e, 1));
   Process check({"config", "check", e.file->path()});
-  CHECK(check.rest().find("warning: pool.p.tls.verification: certificates are not verified") !=
-        std::string::npos);
+  CHECK(check.read_remaining_output().find(
+            "warning: pool.p.tls.verification: certificates are not verified") != std::string::npos);
 }
 
 TEST_CASE("connections of more than a set age are moved over, and no look-up notices") {
@@ -347,7 +347,7 @@
   const TempFile config(platform_text(server.address(), 1, 1)),
       site("converters { tls { " + trusting(files) + " } }\n");
   Process program({"serve", "--config", config.path(), "--site", site.path()});
-  const auto callers = program.listening("caller");
+  const auto callers = program.wait_for_listening_address("caller");
   auto caller = Socket::connect(callers);
   Message offer;
   offer.op = Op::offer;
@@ -355,18 +355,18 @@
   offer.fields = {
       {"class", "voice"}, {"left", "3000"}, {"key", "7f3a9c21e0b4d655"}, {"extras", "dest:1;width:1;via:-1"}};
   offer.description = "d\r\nof a call";
-  caller.say(offer);
-  const auto answer = caller.message();
+  caller.send_message(offer);
+  const auto answer = caller.read_message();
   CHECK(answer.op == Op::accept);
   CHECK(answer.description == "d\r\nvia TLS");
   program.signal(SIGHUP);
-  program.log("event=configuration_taken front=platform");
+  program.wait_for_log("event=configuration_taken front=platform");
   site.write("converters { tls { trust: \"/none.pem\" } }\n");
   program.signal(SIGHUP);
-  CHECK(program.log("event=configuration_kept front=platform").find("/none.pem cannot be read") !=
+  CHECK(program.wait_for_log("event=configuration_kept front=platform").find("/none.pem cannot be read") !=
         std::string::npos);
   Process check({"config", "check", site.path()});
-  CHECK(check.rest().find("converters.tls: /none.pem cannot be read") != std::string::npos);
+  CHECK(check.read_remaining_output().find("converters.tls: /none.pem cannot be read") != std::string::npos);
 }
 
 /// 25 routers hold 50 connections to a converter that dies and is back at once, with nobody's session known.
@@ -385,7 +385,7 @@
         std::vector<std::string>{"serve", "--config", configs.back()->path(), "--site", site.path()}));
   }
   const auto wait_for = [&](int handshakes_done) {
-    for (const double until = now_ms() + patience_ms; server.full + server.resumed < handshakes_done;) {
+    for (const double until = now_ms() + wait_timeout_ms; server.full + server.resumed < handshakes_done;) {
       REQUIRE(now_ms() < until);
       ::poll(nullptr, 0, 5);
     }
