--- a/drill/codec.cpp
+++ b/drill/codec.cpp
@@ -7,61 +7,64 @@
 namespace maddershed::drill {
 namespace {
 
-Duration micros(std::uint64_t value) {
-  constexpr std::uint64_t most = std::uint64_t{1} << 62;
-  return Duration{static_cast<std::int64_t>(std::min(value, most))};
+Duration microseconds(std::uint64_t value) {
+  constexpr std::uint64_t max_microseconds = std::uint64_t{1} << 62;
+  return Duration{static_cast<std::int64_t>(std::min(value, max_microseconds))};
 }
 
+/// Reads little-endian values from the body of a frame; throws WireError past its end.
 class Reader {
  public:
-  Reader(std::span<const std::uint8_t> bytes, std::size_t base) : bytes_(bytes), base_(base) {}
+  /// `base_offset`: of the bytes in the frame.
+  Reader(std::span<const std::uint8_t> bytes, std::size_t base_offset)
+      : bytes_(bytes), base_offset_(base_offset) {}
 
   template <std::unsigned_integral T>
-  T number() {
-    need(sizeof(T));
+  T read_unsigned() {
+    require(sizeof(T));
     T value = 0;
     for (std::size_t i = 0; i < sizeof(T); ++i) {
-      value = static_cast<T>(value | static_cast<T>(static_cast<T>(bytes_[at_ + i]) << (8 * i)));
+      value = static_cast<T>(value | static_cast<T>(static_cast<T>(bytes_[offset_ + i]) << (8 * i)));
     }
-    at_ += sizeof(T);
+    offset_ += sizeof(T);
     return value;
   }
-  float real() { return std::bit_cast<float>(number<std::uint32_t>()); }
-  std::span<const std::uint8_t> take(std::size_t count) {
-    need(count);
-    const auto part = bytes_.subspan(at_, count);
-    at_ += count;
+  float read_float() { return std::bit_cast<float>(read_unsigned<std::uint32_t>()); }
+  std::span<const std::uint8_t> read_bytes(std::size_t count) {
+    require(count);
+    const auto part = bytes_.subspan(offset_, count);
+    offset_ += count;
     return part;
   }
-  /// Fails unless `count` items of `size` bytes are still there, so that no count is believed unchecked.
-  void need(std::size_t count, std::size_t size = 1) const {
-    if (count > (bytes_.size() - at_) / size) fail("record runs past the end of the frame");
+  /// Fails unless `count` items of `size` bytes remain. Checks a count before memory is allocated for it.
+  void require(std::size_t count, std::size_t size = 1) const {
+    if (count > (bytes_.size() - offset_) / size) fail("record extends past the end of the frame");
   }
-  [[noreturn]] void fail(const std::string& what) const {
-    throw WireError(what + " at byte " + std::to_string(position()));
+  [[noreturn]] void fail(const std::string& message) const {
+    throw WireError(message + " (read up to byte " + std::to_string(frame_offset()) + ")");
   }
-  [[nodiscard]] std::size_t position() const { return base_ + at_; }
-  [[nodiscard]] bool done() const { return at_ == bytes_.size(); }
+  [[nodiscard]] std::size_t frame_offset() const { return base_offset_ + offset_; }
+  [[nodiscard]] bool at_end() const { return offset_ == bytes_.size(); }
 
  private:
   std::span<const std::uint8_t> bytes_;
-  std::size_t base_;
-  std::size_t at_ = 0;
+  std::size_t base_offset_;
+  std::size_t offset_ = 0;
 };
 
-std::string text_of(std::span<const std::uint8_t> bytes) { return {bytes.begin(), bytes.end()}; }
+std::string to_text(std::span<const std::uint8_t> bytes) { return {bytes.begin(), bytes.end()}; }
 
 std::vector<DirectoryEntry> read_entries(Reader& in) {
-  constexpr std::size_t entry_size = 21;
-  const auto count = in.number<std::uint32_t>();
-  in.need(count, entry_size);
+  constexpr std::size_t entry_bytes = 21;
+  const auto count = in.read_unsigned<std::uint32_t>();
+  in.require(count, entry_bytes);
   std::vector<DirectoryEntry> entries(count);
   for (auto& entry : entries) {
-    entry.exchange.value = in.number<std::uint32_t>();
-    entry.region = in.number<std::uint8_t>();
-    in.number<std::uint8_t>();  // machine kind
-    entry.number = in.number<std::uint16_t>();
-    switch (in.number<std::uint8_t>()) {
+    entry.exchange.value = in.read_unsigned<std::uint32_t>();
+    entry.region = in.read_unsigned<std::uint8_t>();
+    in.read_unsigned<std::uint8_t>();  // machine kind
+    entry.number = in.read_unsigned<std::uint16_t>();
+    switch (in.read_unsigned<std::uint8_t>()) {
       case 0:
         entry.state = ExchangeState::gone;
         break;
@@ -72,43 +75,43 @@
         entry.state = ExchangeState::draining;
         break;
       default:
-        in.fail("unknown state of a directory entry before");
+        in.fail("unknown state of a directory entry");
     }
-    in.real();  // capacity hint
-    if (const auto started = in.number<std::uint64_t>(); started != 0)
-      entry.started_at = Time{micros(started)};
+    in.read_float();  // capacity hint
+    if (const auto started = in.read_unsigned<std::uint64_t>(); started != 0)
+      entry.started_at = Time{microseconds(started)};
   }
   return entries;
 }
 
 CallOffered read_call(Reader& in) {
   CallOffered call;
-  call.call.value = in.number<std::uint64_t>();
-  const auto bits = in.number<std::uint8_t>();
-  call.redialled = (bits & 2) != 0;
-  call.in_transit = (bits & 8) != 0;
-  call.was_cut_off = (bits & 16) != 0;
-  call.traffic_class = in.number<std::uint16_t>();
-  call.circuits = in.real();
-  call.time_left = micros(in.number<std::uint32_t>());
-  in.number<std::uint32_t>();  // tenant
-  call.destination = to_exchange_number(in.real());
-  in.number<std::uint32_t>();  // work expected
-  call.called_number = in.number<std::uint64_t>();
-  call.tandem = to_exchange_number(in.real());
+  call.call.value = in.read_unsigned<std::uint64_t>();
+  const auto flags = in.read_unsigned<std::uint8_t>();
+  call.redialled = (flags & 2) != 0;
+  call.in_transit = (flags & 8) != 0;
+  call.was_cut_off = (flags & 16) != 0;
+  call.traffic_class = in.read_unsigned<std::uint16_t>();
+  call.circuits = in.read_float();
+  call.time_left = microseconds(in.read_unsigned<std::uint32_t>());
+  in.read_unsigned<std::uint32_t>();  // tenant
+  call.destination = to_exchange_number(in.read_float());
+  in.read_unsigned<std::uint32_t>();  // expected work
+  call.called_number = in.read_unsigned<std::uint64_t>();
+  call.tandem = to_exchange_number(in.read_float());
   return call;
 }
 
-std::vector<float> read_figures(Reader& in) {
-  const auto count = in.number<std::uint8_t>();
-  in.need(count, sizeof(float));
-  std::vector<float> figures(count);
-  for (auto& figure : figures) figure = in.real();
-  return figures;
+std::vector<float> read_column_values(Reader& in) {
+  const auto count = in.read_unsigned<std::uint8_t>();
+  in.require(count, sizeof(float));
+  std::vector<float> values(count);
+  for (auto& value : values) value = in.read_float();
+  return values;
 }
 
 AttemptResult read_result(Reader& in) {
-  switch (in.number<std::uint8_t>()) {
+  switch (in.read_unsigned<std::uint8_t>()) {
     case 10:
       return AttemptResult::ended;
     case 20:
@@ -126,11 +129,11 @@
     case 80:
       return AttemptResult::not_sent;
     default:
-      in.fail("unknown result before");
+      in.fail("unknown result of an attempt");
   }
 }
 
-FailureCause cause_of(std::uint32_t code) {
+FailureCause to_failure_cause(std::uint32_t code) {
   switch (code % 16) {
     case 1:
       return FailureCause::no_circuit;
@@ -148,53 +151,57 @@
 AttemptEndedRaw read_attempt_end(Reader& in) {
   AttemptEndedRaw raw;
   auto& event = raw.event;
-  event.call.value = in.number<std::uint64_t>();
-  event.attempt = in.number<std::uint16_t>();
-  event.exchange.value = in.number<std::uint32_t>();
+  event.call.value = in.read_unsigned<std::uint64_t>();
+  event.attempt = in.read_unsigned<std::uint16_t>();
+  event.exchange.value = in.read_unsigned<std::uint32_t>();
   event.result = read_result(in);
-  event.elapsed = micros(in.number<std::uint32_t>());
-  event.call_finished = in.number<std::uint8_t>() != 0;
-  const auto code = in.number<std::uint32_t>();
-  event.cause = cause_of(code);
+  event.elapsed = microseconds(in.read_unsigned<std::uint32_t>());
+  event.call_finished = in.read_unsigned<std::uint8_t>() != 0;
+  const auto code = in.read_unsigned<std::uint32_t>();
+  event.cause = to_failure_cause(code);
   if (event.cause == FailureCause::processor_full) event.wait_hint = std::chrono::milliseconds{code / 16};
-  raw.column_values = read_figures(in);
+  raw.column_values = read_column_values(in);
   return raw;
 }
 
 template <std::unsigned_integral T>
-void put(std::vector<std::uint8_t>& out, T value) {
+void append(std::vector<std::uint8_t>& out, T value) {
   for (std::size_t i = 0; i < sizeof(T); ++i) out.push_back(static_cast<std::uint8_t>(value >> (8 * i)));
 }
 
-void put_text(std::vector<std::uint8_t>& out, const std::string& text) {
+void append_text(std::vector<std::uint8_t>& out, const std::string& text) {
   const auto length = static_cast<std::uint16_t>(std::min<std::size_t>(text.size(), 65535));
-  put(out, length);
+  append(out, length);
   out.insert(out.end(), text.begin(), text.begin() + length);
 }
 
-std::uint64_t wire_time(Time time) {
+std::uint64_t to_wire_time(Time time) {
   return static_cast<std::uint64_t>(std::max<std::int64_t>(0, time.since_epoch.count()));
 }
 
+/// Appends the record of an action.
 struct ActionWriter {
   std::vector<std::uint8_t>& out;
 
-  void code(std::uint8_t value) { put(out, value); }
-  void operator()(const SendSetUp& a) {
-    code(10), put(out, a.call.value), put(out, wire_time(a.deadline)), put(out, a.exchange.value);
+  void append_code(std::uint8_t value) { append(out, value); }
+  void operator()(const SendSetUp& action) {
+    append_code(10), append(out, action.call.value), append(out, to_wire_time(action.deadline)),
+        append(out, action.exchange.value);
   }
-  void operator()(const Refuse& a) {
-    const auto wait = std::clamp<std::int64_t>(a.retry_after.count(), 0, 0xffffffffLL);
-    code(20), put(out, a.call.value), put(out, static_cast<std::uint32_t>(wait));
+  void operator()(const Refuse& action) {
+    const auto wait = std::clamp<std::int64_t>(action.retry_after.count(), 0, 0xffffffffLL);
+    append_code(20), append(out, action.call.value), append(out, static_cast<std::uint32_t>(wait));
   }
-  void operator()(const Fail& a) { code(30), put(out, a.call.value); }
-  void operator()(const Cancel& a) {
-    code(40), put(out, a.call.value), put(out, static_cast<std::uint16_t>(a.attempt));
+  void operator()(const Fail& action) { append_code(30), append(out, action.call.value); }
+  void operator()(const Cancel& action) {
+    append_code(40), append(out, action.call.value), append(out, static_cast<std::uint16_t>(action.attempt));
   }
-  void operator()(const SetTimer& a) { code(50), put(out, wire_time(a.due)), put(out, a.token); }
-  void operator()(const Probe& a) { code(60), put(out, a.exchange.value); }
-  void operator()(const LogLine& a) { code(90), put_text(out, a.text); }
-  void operator()(const SubscribeDirectory&) { code(110), put(out, std::uint8_t{1}); }
+  void operator()(const SetTimer& action) {
+    append_code(50), append(out, to_wire_time(action.due)), append(out, action.token);
+  }
+  void operator()(const Probe& action) { append_code(60), append(out, action.exchange.value); }
+  void operator()(const LogLine& action) { append_code(90), append_text(out, action.text); }
+  void operator()(const SubscribeDirectory&) { append_code(110), append(out, std::uint8_t{1}); }
 };
 
 }  // namespace
@@ -202,9 +209,9 @@
 BatchHeader decode_header(std::span<const std::uint8_t, batch_header_size> bytes) {
   Reader in(bytes, 0);
   BatchHeader header;
-  header.length = in.number<std::uint32_t>();
-  header.now = Time{micros(in.number<std::uint64_t>())};
-  header.records = in.number<std::uint32_t>();
+  header.length = in.read_unsigned<std::uint32_t>();
+  header.now = Time{microseconds(in.read_unsigned<std::uint64_t>())};
+  header.records = in.read_unsigned<std::uint32_t>();
   return header;
 }
 
@@ -214,37 +221,37 @@
   std::vector<InstanceEvent> events;
   std::optional<std::uint32_t> instance;
   for (std::uint32_t i = 0; i < header.records; ++i) {
-    const auto code = in.number<std::uint8_t>();
+    const auto code = in.read_unsigned<std::uint8_t>();
     if (code == 120) {
-      instance = in.number<std::uint32_t>();
+      instance = in.read_unsigned<std::uint32_t>();
       continue;
     }
     if (code == 110) {
-      const auto list = in.number<std::uint32_t>();
-      if (list >= lists_.size()) in.fail("directory list number out of range before");
-      lists_[list] = read_entries(in);
+      const auto list = in.read_unsigned<std::uint32_t>();
+      if (list >= directory_lists_.size()) in.fail("directory list number out of range");
+      directory_lists_[list] = read_entries(in);
       continue;
     }
-    if (!instance) in.fail("event before any instance was named, before");
+    if (!instance) in.fail("event before the first record that names an instance");
     WireEvent event;
     switch (code) {
       case 10: {
         Launch launch;
-        launch.seed = in.number<std::uint64_t>();
-        launch.settings = text_of(in.take(in.number<std::uint32_t>()));
+        launch.seed = in.read_unsigned<std::uint64_t>();
+        launch.settings = to_text(in.read_bytes(in.read_unsigned<std::uint32_t>()));
         event = std::move(launch);
         break;
       }
       case 20: {
-        const auto mode = in.number<std::uint8_t>();
-        in.number<std::uint32_t>();  // version of the list
-        const auto list = in.number<std::uint32_t>();
-        if (mode > 3) in.fail("unknown kind of directory update before");
+        const auto mode = in.read_unsigned<std::uint8_t>();
+        in.read_unsigned<std::uint32_t>();  // version of the list
+        const auto list = in.read_unsigned<std::uint32_t>();
+        if (mode > 3) in.fail("unknown kind of directory update");
         DirectoryUpdate update;
         update.kind = static_cast<DirectoryUpdate::Kind>(mode);
         if (update.kind != DirectoryUpdate::Kind::failed) {
-          if (list >= lists_.size()) in.fail("directory list number out of range before");
-          update.entries = lists_[list];
+          if (list >= directory_lists_.size()) in.fail("directory list number out of range");
+          update.entries = directory_lists_[list];
         }
         event = std::move(update);
         break;
@@ -254,10 +261,10 @@
         break;
       case 40: {
         CallStands stands;
-        stands.call.value = in.number<std::uint64_t>();
-        stands.attempt = in.number<std::uint16_t>();
-        stands.exchange.value = in.number<std::uint32_t>();
-        stands.elapsed = micros(in.number<std::uint32_t>());
+        stands.call.value = in.read_unsigned<std::uint64_t>();
+        stands.attempt = in.read_unsigned<std::uint16_t>();
+        stands.exchange.value = in.read_unsigned<std::uint32_t>();
+        stands.elapsed = microseconds(in.read_unsigned<std::uint32_t>());
         event = stands;
         break;
       }
@@ -265,24 +272,24 @@
         event = read_attempt_end(in);
         break;
       case 60:
-        event = CallerLeft{CallId{in.number<std::uint64_t>()}};
+        event = CallerLeft{CallId{in.read_unsigned<std::uint64_t>()}};
         break;
       case 70:
-        event = TimerDue{in.number<std::uint64_t>()};
+        event = TimerDue{in.read_unsigned<std::uint64_t>()};
         break;
       case 80: {
         ExchangeReportRaw raw;
-        raw.event.exchange.value = in.number<std::uint32_t>();
-        raw.event.succeeded = in.number<std::uint8_t>() == 10;
-        raw.event.elapsed = micros(in.number<std::uint32_t>());
-        raw.column_values = read_figures(in);
+        raw.event.exchange.value = in.read_unsigned<std::uint32_t>();
+        raw.event.succeeded = in.read_unsigned<std::uint8_t>() == 10;
+        raw.event.elapsed = microseconds(in.read_unsigned<std::uint32_t>());
+        raw.column_values = read_column_values(in);
         event = std::move(raw);
         break;
       }
       case 90: {
         PeerMessage message;
-        message.sender = in.number<std::uint16_t>();
-        const auto data = in.take(in.number<std::uint16_t>());
+        message.sender = in.read_unsigned<std::uint16_t>();
+        const auto data = in.read_bytes(in.read_unsigned<std::uint16_t>());
         message.data.assign(data.begin(), data.end());
         event = std::move(message);
         break;
@@ -291,40 +298,40 @@
         event = Stop{};
         break;
       default:
-        in.fail("unknown event code " + std::to_string(code) + " before");
+        in.fail("unknown event code " + std::to_string(code));
     }
-    events.push_back({*instance, std::move(event), in.position()});
+    events.push_back({*instance, std::move(event), in.frame_offset()});
   }
-  if (!in.done()) in.fail("frame goes on after its last record");
+  if (!in.at_end()) in.fail("frame continues after its last record");
   return events;
 }
 
-void ReplyEncoder::name_source(std::uint32_t instance) {
+void ReplyEncoder::write_source(std::uint32_t instance) {
   if (source_ == instance) return;
   source_ = instance;
-  put(body_, std::uint8_t{130});
-  put(body_, instance);
+  append(body_, std::uint8_t{130});
+  append(body_, instance);
   ++records_;
 }
 
 void ReplyEncoder::add(std::uint32_t instance, const Action& action) {
-  name_source(instance);
+  write_source(instance);
   std::visit(ActionWriter{body_}, action);
   ++records_;
 }
 
 void ReplyEncoder::add_error(std::uint32_t instance, const std::string& text) {
-  name_source(instance);
-  put(body_, std::uint8_t{100});
-  put_text(body_, text);
+  write_source(instance);
+  append(body_, std::uint8_t{100});
+  append_text(body_, text);
   ++records_;
 }
 
 std::vector<std::uint8_t> ReplyEncoder::take_frame() {
   std::vector<std::uint8_t> frame;
   frame.reserve(body_.size() + 8);
-  put(frame, records_);
-  put(frame, static_cast<std::uint32_t>(body_.size()));
+  append(frame, records_);
+  append(frame, static_cast<std::uint32_t>(body_.size()));
   frame.insert(frame.end(), body_.begin(), body_.end());
   *this = ReplyEncoder{};
   return frame;
--- a/drill/codec.hpp
+++ b/drill/codec.hpp
@@ -1,5 +1,6 @@
-// The wire of the drill: frames of bytes to events of instances, and actions of instances to frames.
-// It keeps the numbered directory lists that belong to the process; it decides nothing.
+// Binary wire format of the simulator (drill): decodes frames into events of instances and encodes actions of
+// instances into frames. It stores the numbered directory lists, which all instances of the process share,
+// and makes no decisions.
 #pragma once
 
 #include <array>
@@ -15,27 +16,31 @@
 
 namespace maddershed::drill {
 
-/// Input that does not follow the wire; the text says what and at which byte of the frame.
+/// Input that violates the wire format; the message says what is wrong and at which byte of the frame.
 using WireError = InputError;
 
 inline constexpr std::size_t batch_header_size = 16;
 
+/// Header of a frame of events.
 struct BatchHeader {
-  std::uint32_t length = 0;
+  std::uint32_t length = 0;  ///< of the body, in bytes
   Time now;
   std::uint32_t records = 0;
 };
 
+/// Starts an instance.
 struct Launch {
   std::uint64_t seed = 0;
-  std::string settings;
+  std::string settings;  ///< key=value lines
 };
+/// Ends an instance.
 struct Stop {};
-/// An attempt's end or an exchange's report, with its figures still in the order of the settings.
+/// The end of an attempt. The values of its report are in the order of the columns in the settings.
 struct AttemptEndedRaw {
   AttemptEnded event;
   std::vector<float> column_values;
 };
+/// The report of an exchange, with values as in AttemptEndedRaw.
 struct ExchangeReportRaw {
   ExchangeReport event;
   std::vector<float> column_values;
@@ -43,32 +48,39 @@
 using WireEvent = std::variant<Launch, Stop, DirectoryUpdate, CallOffered, CallStands, AttemptEndedRaw,
                                ExchangeReportRaw, CallerLeft, TimerDue, PeerMessage>;
 
+/// One event and the instance that it is for.
 struct InstanceEvent {
   std::uint32_t instance = 0;
   WireEvent event;
-  std::size_t end_offset = 0;  ///< byte offset in the frame at which the record ends
+  std::size_t end_offset = 0;  ///< of its record in the frame, in bytes
 };
 
+/// Decodes the header of a frame.
 [[nodiscard]] BatchHeader decode_header(std::span<const std::uint8_t, batch_header_size> bytes);
 
+/// Decodes frames of events. Keeps the directory lists between frames.
 class BatchDecoder {
  public:
+  /// Events of the frame in their order. Throws WireError.
   [[nodiscard]] std::vector<InstanceEvent> decode(const BatchHeader& header,
                                                   std::span<const std::uint8_t> body);
 
  private:
-  std::array<std::vector<DirectoryEntry>, 16> lists_;
+  std::array<std::vector<DirectoryEntry>, 16> directory_lists_;  ///< by their number on the wire
 };
 
+/// Encodes the actions of the instances into one frame.
 class ReplyEncoder {
  public:
   void add(std::uint32_t instance, const Action& action);
+  /// Reports that an instance failed with an exception.
   void add_error(std::uint32_t instance, const std::string& text);
-  /// The whole frame, header first; the encoder is empty afterwards.
+  /// Returns the complete frame with its header; the encoder is empty afterwards.
   [[nodiscard]] std::vector<std::uint8_t> take_frame();
 
  private:
-  void name_source(std::uint32_t instance);
+  /// Writes a record with the instance, unless the previous record is from the same one.
+  void write_source(std::uint32_t instance);
 
   std::vector<std::uint8_t> body_;
   std::uint32_t records_ = 0;
--- a/drill/host.cpp
+++ b/drill/host.cpp
@@ -16,30 +16,30 @@
   ReplyEncoder reply;
   std::vector<Action> actions;
   for (const auto& [id, wire_event, end_offset] : events) {
-    const auto* start = std::get_if<Launch>(&wire_event);
-    if (start == nullptr && !instances_.contains(id)) {
-      throw WireError("event for instance " + std::to_string(id) + " before its launch, ending at byte " +
-                      std::to_string(end_offset));
+    const auto* launch_event = std::get_if<Launch>(&wire_event);
+    if (launch_event == nullptr && !instances_.contains(id)) {
+      throw WireError("event for instance " + std::to_string(id) +
+                      " before its launch; its record ends at byte " + std::to_string(end_offset));
     }
     auto& instance = instances_[id];
     std::optional<Event> event;
-    if (start != nullptr) {
-      launch(instance, *start);
+    if (launch_event != nullptr) {
+      launch(instance, *launch_event);
       event = Started{};
     } else if (std::holds_alternative<Stop>(wire_event)) {
       instance.controller.reset();
     } else if (const auto* end = std::get_if<AttemptEndedRaw>(&wire_event)) {
-      auto filled = end->event;
-      filled.report = to_load_report(instance.columns, end->column_values);
-      event = filled;
+      auto ended = end->event;
+      ended.report = to_load_report(instance.columns, end->column_values);
+      event = ended;
     } else if (const auto* report = std::get_if<ExchangeReportRaw>(&wire_event)) {
-      auto filled = report->event;
-      filled.report = to_load_report(instance.columns, report->column_values);
-      event = filled;
+      auto reported = report->event;
+      reported.report = to_load_report(instance.columns, report->column_values);
+      event = reported;
     } else {
       std::visit(
-          [&event](const auto& plain) {
-            if constexpr (std::is_constructible_v<Event, decltype(plain)>) event = plain;
+          [&event](const auto& other) {
+            if constexpr (std::is_constructible_v<Event, decltype(other)>) event = other;
           },
           wire_event);
     }
--- a/drill/host.hpp
+++ b/drill/host.hpp
@@ -1,4 +1,4 @@
-// Hosts one call controller for each instance named on the wire. Instances share nothing.
+// Hosts one call controller for each instance named on the wire. Instances share no state.
 #pragma once
 
 #include <cstdint>
@@ -11,9 +11,11 @@
 
 namespace maddershed::drill {
 
+/// Runs the instances of one process.
 class InstanceHost {
  public:
-  /// Hands over a batch, already decoded in full, and returns the frame of the reply.
+  /// Passes a decoded batch of events to the instances and returns the frame of the reply. Throws InputError
+  /// for invalid settings and WireError for an event of an instance that was not launched.
   [[nodiscard]] std::vector<std::uint8_t> handle(Time now, const std::vector<InstanceEvent>& events);
 
  private:
--- a/src/emulator/handshake_simulation.cpp
+++ b/src/emulator/handshake_simulation.cpp
@@ -14,67 +14,75 @@
 using handshakes::Admission;
 using handshakes::Outcome;
 
-constexpr double row_ms = 250;
-constexpr double backoff_first = 100, backoff_most = 10000;
-constexpr ExchangeId the_converter{1};
+constexpr double sample_interval_ms = 250;
+constexpr double initial_backoff_ms = 100, max_backoff_ms = 10000;  // of Strategy::backoff
+constexpr ExchangeId converter_id{1};
 
-/// Events in the order of their times; of the same time, in the order in which they were set.
-class Agenda {
+/// Runs scheduled events in order of time; events of the same time run in the order of scheduling.
+class EventQueue {
  public:
-  void at(double time, std::function<void()> what) { events_.push({time, ++last_, std::move(what)}); }
-  void run(double until) {
-    while (!events_.empty() && events_.top().time <= until) {
+  /// Times in ms of the simulation.
+  void schedule(double time_ms, std::function<void()> action) {
+    events_.push({time_ms, ++last_sequence_, std::move(action)});
+  }
+  /// Runs all events up to and including that time.
+  void run(double until_ms) {
+    while (!events_.empty() && events_.top().time_ms <= until_ms) {
       auto next = events_.top();
       events_.pop();
-      now = next.time;
-      next.what();
+      now_ms = next.time_ms;
+      next.action();
     }
-    now = until;
+    now_ms = until_ms;
   }
-  double now = 0;
+  double now_ms = 0;
 
  private:
   struct Event {
-    double time;
-    std::uint64_t number;
-    std::function<void()> what;
+    double time_ms;
+    std::uint64_t sequence;
+    std::function<void()> action;
     bool operator<(const Event& other) const {
-      return time != other.time ? time > other.time : number > other.number;
+      return time_ms != other.time_ms ? time_ms > other.time_ms : sequence > other.sequence;
     }
   };
   std::priority_queue<Event> events_;
-  std::uint64_t last_ = 0;
+  std::uint64_t last_sequence_ = 0;
 };
 
-/// One processor, one line of work. Pressed too hard it falls over, and comes back cold.
+/// A converter with one processor and one queue of work. With too long a backlog it crashes; after its
+/// restart it has a part of its capacity only.
 struct Converter {
-  double started = 0, free_at = 0, down_until = 0;
-  std::uint64_t generation = 1;  ///< of the process
+  double started_ms = 0, idle_at_ms = 0, down_until_ms = 0;
+  std::uint64_t process_generation = 1;  ///< incremented by each crash
 };
 
+/// A connection that a router keeps to the converter, reopened whenever it ends.
 struct Connection {
-  enum class State { none, handshake, up };
-  State state = State::none;
-  std::uint64_t number = 0;                        ///< of its latest handshake
-  bool asking = false;                             ///< an event that asks again is set
-  handshakes::Kind kind = handshakes::Kind::full;  ///< as admitted
+  enum class State { closed, handshaking, established };
+  State state = State::closed;
+  std::uint64_t handshake_number = 0;  ///< of its latest handshake
+  bool retry_scheduled = false;
+  handshakes::Kind admitted_kind = handshakes::Kind::full;  ///< expected at the start of the handshake
 };
 
+/// A call router, as far as its connections to the converter go.
 struct Router {
   std::vector<Connection> connections;
   std::unique_ptr<Admission> admission;
-  bool session = false;
+  bool has_session = false;  ///< it can offer to resume a session
   std::uint32_t failures = 0;
-  std::deque<double> waiting;  ///< deadlines of calls that wait for a connection
+  std::deque<double> waiting_deadlines_ms;  ///< of calls that wait for a connection
 };
 
+/// One run of the simulation.
 class Simulation {
  public:
   Simulation(Strategy strategy, const SimulationSettings& settings)
       : strategy_(strategy), settings_(settings), random_(settings.seed) {}
 
   SimulationResult run() {
-    for (std::uint32_t i = 0; i < settings_.router_count; ++i) {
+    for (std::uint32_t router_index = 0; router_index < settings_.router_count; ++router_index) {
       auto& router = routers_.emplace_back();
       router.connections.resize(settings_.connections_per_router);
       auto admission_settings = settings_.admission;
@@ -85,175 +93,200 @@
       admission_settings.start_capacity = settings_.start_capacity;
       admission_settings.cold_time_ms = settings_.cold_time_ms;
       router.admission = std::make_unique<Admission>(admission_settings, random_());
-      router.admission->update_converter(the_converter, 0, 0.0);
+      router.admission->update_converter(converter_id, 0, 0.0);
     }
-    // The converter has started just now, and all routers come back at once.
-    for (std::uint32_t i = 0; i < settings_.router_count; ++i) {
-      for (std::uint32_t k = 0; k < settings_.connections_per_router; ++k)
-        agenda_.at(0, [this, i, k] { open(i, k); });
+    // The converter has just started, and all routers reconnect at the same time.
+    for (std::uint32_t router_index = 0; router_index < settings_.router_count; ++router_index) {
+      for (std::uint32_t connection_index = 0; connection_index < settings_.connections_per_router;
+           ++connection_index)
+        event_queue_.schedule(
+            0, [this, router_index, connection_index] { open_connection(router_index, connection_index); });
     }
-    next_call();
-    agenda_.at(settings_.disconnect_at_ms, [this] { cut(); });
-    for (double at = 0; at < settings_.duration_ms; at += row_ms)
-      agenda_.at(at, [this] { out_.backlog_samples_ms.push_back(backlog()); });
-    agenda_.run(settings_.duration_ms);
-    return std::move(out_);
+    schedule_next_call();
+    event_queue_.schedule(settings_.disconnect_at_ms, [this] { disconnect_all(); });
+    for (double time_ms = 0; time_ms < settings_.duration_ms; time_ms += sample_interval_ms)
+      event_queue_.schedule(time_ms, [this] { result_.backlog_samples_ms.push_back(backlog_ms()); });
+    event_queue_.run(settings_.duration_ms);
+    return std::move(result_);
   }
 
  private:
-  [[nodiscard]] double backlog() const { return std::max(0.0, converter_.free_at - agenda_.now); }
-  [[nodiscard]] bool down() const { return agenda_.now < converter_.down_until; }
+  [[nodiscard]] double backlog_ms() const {
+    return std::max(0.0, converter_.idle_at_ms - event_queue_.now_ms);
+  }
+  [[nodiscard]] bool is_down() const { return event_queue_.now_ms < converter_.down_until_ms; }
 
-  /// Puts work in line; `done` is told whether it came to its end.
-  void work(double cost, std::function<void(bool)> done) {
-    const double now = agenda_.now;
-    const double age = std::max(0.0, now - converter_.started);
+  /// Queues work on the converter. `done` gets whether the work was completed; a crash loses it.
+  void add_work(double cost_ms, std::function<void(bool)> done) {
+    const double now_ms = event_queue_.now_ms;
+    const double age_ms = std::max(0.0, now_ms - converter_.started_ms);
     const double capacity =
         settings_.start_capacity +
-        (1 - settings_.start_capacity) * std::min(1.0, age / std::max(1.0, settings_.cold_time_ms));
-    converter_.free_at = std::max(converter_.free_at, now) + cost / capacity;
-    out_.max_backlog_ms = std::max(out_.max_backlog_ms, backlog());
-    if (backlog() > settings_.crash_backlog_ms) {
-      fall();
+        (1 - settings_.start_capacity) * std::min(1.0, age_ms / std::max(1.0, settings_.cold_time_ms));
+    converter_.idle_at_ms = std::max(converter_.idle_at_ms, now_ms) + cost_ms / capacity;
+    result_.max_backlog_ms = std::max(result_.max_backlog_ms, backlog_ms());
+    if (backlog_ms() > settings_.crash_backlog_ms) {
+      crash();
       return done(false);
     }
-    agenda_.at(converter_.free_at, [this, generation = converter_.generation, done = std::move(done)] {
-      done(generation == converter_.generation);
-    });
+    event_queue_.schedule(converter_.idle_at_ms,
+                          [this, generation = converter_.process_generation, done = std::move(done)] {
+                            done(generation == converter_.process_generation);
+                          });
   }
 
-  void fall() {
-    ++out_.crashes;
-    ++converter_.generation;
-    converter_.down_until = agenda_.now + settings_.restart_time_ms;
-    converter_.started = converter_.free_at = converter_.down_until;
-    for (auto& router : routers_) router.session = false;  // its ticket keys go with it
-    cut();
+  /// Ends the converter's process: all queued work and sessions are lost, and it is down until its restart.
+  void crash() {
+    ++result_.crashes;
+    ++converter_.process_generation;
+    converter_.down_until_ms = event_queue_.now_ms + settings_.restart_time_ms;
+    converter_.started_ms = converter_.idle_at_ms = converter_.down_until_ms;
+    for (auto& router : routers_) router.has_session = false;  // the ticket keys are lost with the process
+    disconnect_all();
   }
 
-  /// Every connection that is up ends at once.
-  void cut() {
-    for (std::uint32_t i = 0; i < routers_.size(); ++i) {
-      for (std::uint32_t k = 0; k < settings_.connections_per_router; ++k) {
-        auto& each = routers_[i].connections[k];
-        if (each.state != Connection::State::up) continue;
-        each.state = Connection::State::none;
-        routers_[i].admission->connection_closed(the_converter, agenda_.now, true);
-        agenda_.at(agenda_.now + settings_.connect_time_ms, [this, i, k] { open(i, k); });
+  /// Ends all established connections at the same time.
+  void disconnect_all() {
+    for (std::uint32_t router_index = 0; router_index < routers_.size(); ++router_index) {
+      for (std::uint32_t connection_index = 0; connection_index < settings_.connections_per_router;
+           ++connection_index) {
+        auto& connection = routers_[router_index].connections[connection_index];
+        if (connection.state != Connection::State::established) continue;
+        connection.state = Connection::State::closed;
+        routers_[router_index].admission->connection_closed(converter_id, event_queue_.now_ms, true);
+        event_queue_.schedule(
+            event_queue_.now_ms + settings_.connect_time_ms,
+            [this, router_index, connection_index] { open_connection(router_index, connection_index); });
       }
     }
   }
 
-  void again(std::uint32_t i, std::uint32_t k, double at) {
-    auto& each = routers_[i].connections[k];
-    if (each.asking) return;
-    each.asking = true;
-    agenda_.at(std::max(at, agenda_.now + 0.01), [this, i, k] {
-      routers_[i].connections[k].asking = false;
-      open(i, k);
-    });
+  void schedule_retry(std::uint32_t router_index, std::uint32_t connection_index, double retry_at_ms) {
+    auto& connection = routers_[router_index].connections[connection_index];
+    if (connection.retry_scheduled) return;
+    connection.retry_scheduled = true;
+    event_queue_.schedule(std::max(retry_at_ms, event_queue_.now_ms + 0.01),
+                          [this, router_index, connection_index] {
+                            routers_[router_index].connections[connection_index].retry_scheduled = false;
+                            open_connection(router_index, connection_index);
+                          });
   }
 
-  void open(std::uint32_t i, std::uint32_t k) {
-    auto& router = routers_[i];
-    auto& each = router.connections[k];
-    if (each.state != Connection::State::none) return;
-    each.kind = handshakes::Kind::full;
+  /// Starts a handshake, or schedules a retry when the admission defers it.
+  void open_connection(std::uint32_t router_index, std::uint32_t connection_index) {
+    auto& router = routers_[router_index];
+    auto& connection = router.connections[connection_index];
+    if (connection.state != Connection::State::closed) return;
+    connection.admitted_kind = handshakes::Kind::full;
     if (strategy_ == Strategy::admission) {
-      const auto verdict =
-          router.admission->request_handshake(the_converter, agenda_.now, router.session, 1e300);
-      if (!verdict.admitted) return again(i, k, verdict.retry_at_ms);
-      each.kind = verdict.kind;
+      const auto decision =
+          router.admission->request_handshake(converter_id, event_queue_.now_ms, router.has_session, 1e300);
+      if (!decision.admitted) return schedule_retry(router_index, connection_index, decision.retry_at_ms);
+      connection.admitted_kind = decision.kind;
     }
-    each.state = Connection::State::handshake;
-    const auto number = ++each.number;
-    const double from = agenda_.now;
-    if (down()) {  // refused at once
-      agenda_.at(from + 2 * settings_.connect_time_ms,
-                 [this, i, k, number, from] { failed(i, k, number, from, Outcome::refused); });
+    connection.state = Connection::State::handshaking;
+    const auto number = ++connection.handshake_number;
+    const double started_ms = event_queue_.now_ms;
+    if (is_down()) {  // the connection is refused after one round trip
+      event_queue_.schedule(started_ms + 2 * settings_.connect_time_ms, [this, router_index, connection_index,
+                                                                         number, started_ms] {
+        fail_handshake(router_index, connection_index, number, started_ms, Outcome::refused);
+      });
       return;
     }
-    agenda_.at(from + settings_.handshake_timeout_ms,
-               [this, i, k, number, from] { failed(i, k, number, from, Outcome::timed_out); });
-    const bool resumed = router.session;
-    agenda_.at(from + settings_.connect_time_ms, [this, i, k, number, from, resumed] {
-      if (down()) return failed(i, k, number, from, Outcome::refused);
-      work(resumed ? settings_.resumed_cost_ms : settings_.full_cost_ms,
-           [this, i, k, number, from, resumed](bool whole) {
-             whole ? up(i, k, number, from, resumed) : failed(i, k, number, from, Outcome::reset);
-           });
+    event_queue_.schedule(started_ms + settings_.handshake_timeout_ms, [this, router_index, connection_index,
+                                                                        number, started_ms] {
+      fail_handshake(router_index, connection_index, number, started_ms, Outcome::timed_out);
+    });
+    const bool resumed = router.has_session;
+    event_queue_.schedule(started_ms + settings_.connect_time_ms, [this, router_index, connection_index,
+                                                                   number, started_ms, resumed] {
+      if (is_down())
+        return fail_handshake(router_index, connection_index, number, started_ms, Outcome::refused);
+      add_work(resumed ? settings_.resumed_cost_ms : settings_.full_cost_ms,
+               [this, router_index, connection_index, number, started_ms, resumed](bool completed) {
+                 completed
+                     ? complete_handshake(router_index, connection_index, number, started_ms, resumed)
+                     : fail_handshake(router_index, connection_index, number, started_ms, Outcome::reset);
+               });
     });
   }
 
-  void up(std::uint32_t i, std::uint32_t k, std::uint64_t number, double from, bool resumed) {
-    auto& router = routers_[i];
-    auto& each = router.connections[k];
-    ++(resumed ? out_.resumed_handshakes : out_.full_handshakes);
-    if (each.state != Connection::State::handshake || each.number != number) {
-      ++out_.abandoned_handshakes;  // the router has given it up, the converter did not know
+  void complete_handshake(std::uint32_t router_index, std::uint32_t connection_index, std::uint64_t number,
+                          double started_ms, bool resumed) {
+    auto& router = routers_[router_index];
+    auto& connection = router.connections[connection_index];
+    ++(resumed ? result_.resumed_handshakes : result_.full_handshakes);
+    if (connection.state != Connection::State::handshaking || connection.handshake_number != number) {
+      ++result_.abandoned_handshakes;  // the router has given up without the converter noticing
       return;
     }
-    each.state = Connection::State::up;
-    router.session = true;
+    connection.state = Connection::State::established;
+    router.has_session = true;
     router.failures = 0;
-    router.admission->handshake_finished(the_converter, agenda_.now, each.kind, Outcome::established, resumed,
-                                         agenda_.now - from);
-    if (out_.all_connected_at_ms < 0 && std::all_of(routers_.begin(), routers_.end(), connected))
-      out_.all_connected_at_ms = agenda_.now;
-    auto waiting = std::move(router.waiting);
-    router.waiting.clear();
-    for (const auto due : waiting) call(i, due);
+    router.admission->handshake_finished(converter_id, event_queue_.now_ms, connection.admitted_kind,
+                                         Outcome::established, resumed, event_queue_.now_ms - started_ms);
+    if (result_.all_connected_at_ms < 0 && std::all_of(routers_.begin(), routers_.end(), has_connection))
+      result_.all_connected_at_ms = event_queue_.now_ms;
+    auto deadlines = std::move(router.waiting_deadlines_ms);
+    router.waiting_deadlines_ms.clear();
+    for (const auto deadline_ms : deadlines) place_call(router_index, deadline_ms);
   }
-  static bool connected(const Router& router) {
-    return std::any_of(router.connections.begin(), router.connections.end(),
-                       [](const auto& each) { return each.state == Connection::State::up; });
+  static bool has_connection(const Router& router) {
+    return std::any_of(router.connections.begin(), router.connections.end(), [](const auto& connection) {
+      return connection.state == Connection::State::established;
+    });
   }
 
-  void failed(std::uint32_t i, std::uint32_t k, std::uint64_t number, double from, Outcome ending) {
-    auto& router = routers_[i];
-    auto& each = router.connections[k];
-    if (each.state != Connection::State::handshake || each.number != number) return;
-    each.state = Connection::State::none;
-    router.admission->handshake_finished(the_converter, agenda_.now, each.kind, ending, false,
-                                         agenda_.now - from);
-    if (strategy_ == Strategy::admission) return again(i, k, agenda_.now);
-    if (strategy_ == Strategy::none) return again(i, k, agenda_.now + 1);
-    const double wait =
-        std::min(backoff_most, std::ldexp(backoff_first, static_cast<int>(std::min(router.failures++, 10U))));
-    again(i, k, agenda_.now + wait);
+  void fail_handshake(std::uint32_t router_index, std::uint32_t connection_index, std::uint64_t number,
+                      double started_ms, Outcome outcome) {
+    auto& router = routers_[router_index];
+    auto& connection = router.connections[connection_index];
+    if (connection.state != Connection::State::handshaking || connection.handshake_number != number) return;
+    connection.state = Connection::State::closed;
+    router.admission->handshake_finished(converter_id, event_queue_.now_ms, connection.admitted_kind, outcome,
+                                         false, event_queue_.now_ms - started_ms);
+    if (strategy_ == Strategy::admission)
+      return schedule_retry(router_index, connection_index, event_queue_.now_ms);
+    if (strategy_ == Strategy::none)
+      return schedule_retry(router_index, connection_index, event_queue_.now_ms + 1);
+    const double delay_ms = std::min(
+        max_backoff_ms, std::ldexp(initial_backoff_ms, static_cast<int>(std::min(router.failures++, 10U))));
+    schedule_retry(router_index, connection_index, event_queue_.now_ms + delay_ms);
   }
 
   // ---- Calls -------------------------------------------------------------------------------------------
 
-  void next_call() {
-    const double gap = std::exponential_distribution<double>(settings_.calls_per_second / 1000)(random_);
-    agenda_.at(agenda_.now + gap, [this] {
-      const auto i = static_cast<std::uint32_t>(random_() % routers_.size());
-      ++out_.calls;
-      call(i, agenda_.now + settings_.call_timeout_ms);
-      next_call();
+  /// Calls arrive as a Poisson process, each at a random router.
+  void schedule_next_call() {
+    const double gap_ms = std::exponential_distribution<double>(settings_.calls_per_second / 1000)(random_);
+    event_queue_.schedule(event_queue_.now_ms + gap_ms, [this] {
+      const auto router_index = static_cast<std::uint32_t>(random_() % routers_.size());
+      ++result_.calls;
+      place_call(router_index, event_queue_.now_ms + settings_.call_timeout_ms);
+      schedule_next_call();
     });
   }
-  void call(std::uint32_t i, double due) {
-    if (agenda_.now >= due) return;
-    if (!connected(routers_[i])) {
-      routers_[i].waiting.push_back(due);
+  void place_call(std::uint32_t router_index, double deadline_ms) {
+    if (event_queue_.now_ms >= deadline_ms) return;
+    if (!has_connection(routers_[router_index])) {
+      routers_[router_index].waiting_deadlines_ms.push_back(deadline_ms);
       return;
     }
-    // As the decision module does: what the line shows no room for is not sent, it would only be late.
-    if (backlog() > settings_.call_timeout_ms / 3) return;
-    work(settings_.set_up_cost_ms, [this, due](bool whole) {
-      if (whole && agenda_.now <= due) ++out_.answered_in_time;
+    // Like the decision module, it does not send a set-up that the backlog would make late.
+    if (backlog_ms() > settings_.call_timeout_ms / 3) return;
+    add_work(settings_.set_up_cost_ms, [this, deadline_ms](bool completed) {
+      if (completed && event_queue_.now_ms <= deadline_ms) ++result_.answered_in_time;
     });
   }
 
   Strategy strategy_;
   SimulationSettings settings_;
   std::mt19937_64 random_;
-  Agenda agenda_;
+  EventQueue event_queue_;
   Converter converter_;
   std::vector<Router> routers_;
-  SimulationResult out_;
+  SimulationResult result_;
 };
 
 }  // namespace
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,4 +1,4 @@
-// heathturn: a call router on real sockets round the decision module.
+// heathturn: a call router on real sockets around the decision module.
 #include <google/protobuf/stubs/common.h>
 
 #include <CLI/CLI.hpp>
@@ -20,52 +20,55 @@
 using namespace heathturn;
 
 constexpr const char* version = "0.5.0";
-constexpr double log_close_ms = 500;
+constexpr double log_close_timeout_ms = 500;
 
-struct Words {
-  std::string config;
-  std::string site;
-  std::string console;
+/// Options of `serve`.
+struct ServeOptions {
+  std::string config_path;
+  std::string site_path;
+  std::string console_path;
   LogFormat log_format = LogFormat::key_value;
   LogLevel log_level = LogLevel::info;
 };
 
-std::uint64_t fresh_seed() {
+std::uint64_t random_seed() {
   std::random_device random;
   return static_cast<std::uint64_t>(random()) << 32 | random();
 }
 
-int serve(const Words& words) {
-  if (words.config.empty() && words.site.empty()) {
+/// Runs the services and returns the exit status. Throws InputError for an invalid configuration.
+int serve(const ServeOptions& options) {
+  if (options.config_path.empty() && options.site_path.empty()) {
     throw InputError("no configuration: give --config or --site, or set PROXY_CONFIG");
   }
-  std::signal(SIGHUP, SIG_IGN);  // until the loop takes it: a file read just now needs no second reading
+  std::signal(SIGHUP, SIG_IGN);  // until the event loop handles it: the files are read below anyway
   std::optional<PlatformConfig> config;
-  if (!words.config.empty()) config = parse_platform_config(read_file(words.config));
+  if (!options.config_path.empty()) config = parse_platform_config(read_file(options.config_path));
   std::optional<EnumConfig> site;
-  if (!words.site.empty()) site = load_site(words.site);
-  auto console_path = words.console;
+  if (!options.site_path.empty()) site = load_site(options.site_path);
+  auto console_path = options.console_path;
   if (console_path.empty() && site) console_path = site->console_path;
-  EventLog log(config ? config->name : "heathturn", words.log_format, words.log_level);
+  EventLog log(config ? config->name : "heathturn", options.log_format, options.log_level);
   int status = 0;
-  bool working = false;
+  bool has_background_work = false;
   try {
     Program program(log);
     if (config)
-      program.add_service(
-          std::make_unique<PlatformService>(program, std::move(*config), words.config, words.site));
+      program.add_service(std::make_unique<PlatformService>(program, std::move(*config), options.config_path,
+                                                            options.site_path));
     if (site && site->has_enum_frontend)
-      program.add_service(std::make_unique<EnumService>(program, std::move(*site), words.site, fresh_seed()));
+      program.add_service(
+          std::make_unique<EnumService>(program, std::move(*site), options.site_path, random_seed()));
     std::optional<Console> console;
     if (!console_path.empty()) console.emplace(program, console_path, version);
     status = program.run();
-    working = program.has_background_work();
+    has_background_work = program.has_background_work();
   } catch (const std::exception& error) {
     std::fprintf(stderr, "heathturn: %s\n", error.what());
     status = 1;
   }
-  // A reader of the log that stands, or a file that is still being read, keeps nobody here.
-  if (!log.close(log_close_ms) || working) std::_Exit(status);
+  // A blocked reader of the log, or a file that is still being read, must not keep the process running.
+  if (!log.close(log_close_timeout_ms) || has_background_work) std::_Exit(status);
   return status;
 }
 
@@ -75,33 +78,37 @@
   CLI::App app{"heathturn, a call router"};
   app.require_subcommand(1);
   int status = 0;
-  Words words;
-  if (const char* given = std::getenv("PROXY_CONFIG")) words.config = given;
-  auto* serving =
-      app.add_subcommand("serve", "Route calls and look-ups until SIGTERM; SIGHUP reads the files again");
-  serving->add_option("--config", words.config, "The platform's configuration (default: $PROXY_CONFIG)");
-  serving->add_option(
-      "--site,--enum", words.site,
-      "The operator's file: the ENUM front, TLS towards converters; without it there is neither");
-  serving->add_option("--console", words.console, "Unix socket of the console; without it there is none");
-  serving->add_option("--log-format", words.log_format, "kv or json (default: kv)")
+  ServeOptions options;
+  if (const char* path = std::getenv("PROXY_CONFIG")) options.config_path = path;
+  auto* serve_command = app.add_subcommand(
+      "serve", "Route calls and look-ups until SIGTERM; SIGHUP reloads the configuration files");
+  serve_command->add_option("--config", options.config_path,
+                            "Configuration file of the platform (default: $PROXY_CONFIG)");
+  serve_command->add_option(
+      "--site,--enum", options.site_path,
+      "Configuration file of the ENUM service and of TLS to converters; both are off without it");
+  serve_command->add_option("--console", options.console_path,
+                            "Path of the console's Unix socket; no console without it");
+  serve_command->add_option("--log-format", options.log_format, "Log format: kv or json (default: kv)")
       ->transform(CLI::CheckedTransformer(
           std::map<std::string, LogFormat>{{"kv", LogFormat::key_value}, {"json", LogFormat::json}}));
-  serving->add_option("--log-level", words.log_level, "debug, info, warn or error (default: info)")
+  serve_command
+      ->add_option("--log-level", options.log_level,
+                   "Minimum log level: debug, info, warn or error (default: info)")
       ->transform(CLI::CheckedTransformer(std::map<std::string, LogLevel>{{"debug", LogLevel::debug},
                                                                           {"info", LogLevel::info},
                                                                           {"warn", LogLevel::warn},
                                                                           {"error", LogLevel::error}}));
-  serving->footer("Exit status: 0 ended as asked, 1 it could not start.");
-  serving->callback([&] { status = serve(words); });
+  serve_command->footer("Exit status: 0 stopped on request, 1 failed to start.");
+  serve_command->callback([&] { status = serve(options); });
 
-  auto* console =
-      app.add_subcommand("console", "Ask the running program: status, converters, calls, drain, quit");
+  auto* console = app.add_subcommand(
+      "console", "Send commands to the running program: status, converters, calls, drain, quit");
   std::string socket;
   std::vector<std::string> command;
-  console->add_option("--socket", socket, "The program's console socket")->required();
-  console->add_option("command", command, "One command; with none they are read from standard input");
-  console->footer("Exit status: 0 done, 1 there is no console, or it has ended.");
+  console->add_option("--socket", socket, "Path of the program's console socket")->required();
+  console->add_option("command", command, "The command; without one, commands are read from standard input");
+  console->footer("Exit status: 0 success, 1 the console could not be reached or closed the connection.");
   console->callback([&] { status = run_console(socket, command); });
 
   add_config_commands(app, status);
@@ -109,7 +116,7 @@
   app.add_subcommand("version", "Print the version")->callback([] {
     std::printf("heathturn %s\n", version);
   });
-  app.footer("`heathturn COMMAND --help` has each command's options and exit statuses.");
+  app.footer("`heathturn COMMAND --help` lists the options and exit statuses of a command.");
   try {
     CLI11_PARSE(app, argc, argv);
   } catch (const std::exception& error) {
--- a/src/program.cpp
+++ b/src/program.cpp
@@ -5,11 +5,11 @@
 namespace heathturn {
 namespace {
 
-// After SIGTERM new connections keep coming for 0.4 s at most, and requests on open ones for 0.2 s more.
-constexpr double door_open_ms = 700;
-constexpr double last_poll_ms = 20;
-constexpr double arrive_ms = 100;
-constexpr double tell_dropped_ms = 200;
+// After SIGTERM new connections arrive for up to 0.4 s, and requests on open connections for 0.2 s more.
+constexpr double accept_after_sigterm_ms = 700;
+constexpr double shutdown_poll_interval_ms = 20;
+constexpr double delivery_delay_ms = 100;
+constexpr double dropped_report_interval_ms = 200;
 
 }  // namespace
 
@@ -27,24 +27,25 @@
 
 void Program::log(LogLevel level, const char* event, const std::vector<LogField>& fields) {
   log_.write(clock_.now_ms(), level, event, fields);
-  if (!telling_dropped_ && log_.untold() > 0) tell_dropped();
+  if (!dropped_report_pending_ && log_.untold() > 0) report_dropped_lines();
 }
 
-/// Lines were lost to a slow reader: said once it reads on.
-void Program::tell_dropped() {
-  telling_dropped_ = !log_.tell_dropped(clock_.now_ms());
-  if (telling_dropped_) timers_.schedule(clock_.now_ms() + tell_dropped_ms, [this] { tell_dropped(); });
+/// Log lines were dropped because their reader was too slow: logs how many once it reads again.
+void Program::report_dropped_lines() {
+  dropped_report_pending_ = !log_.tell_dropped(clock_.now_ms());
+  if (dropped_report_pending_)
+    timers_.schedule(clock_.now_ms() + dropped_report_interval_ms, [this] { report_dropped_lines(); });
 }
 
 int Program::run() {
-  std::signal(SIGPIPE, SIG_IGN);  // a peer that has gone is an error of that connection, not of the process
+  std::signal(SIGPIPE, SIG_IGN);  // writing to a closed connection fails that connection, not the process
   std::vector<std::unique_ptr<event, void (*)(event*)>> signals;
   for (const int signal : {SIGTERM, SIGINT, SIGHUP}) {
     signals.emplace_back(evsignal_new(
                              net_.base(), signal,
-                             [](evutil_socket_t got, short, void* self) {
-                               auto& program = *static_cast<Program*>(self);
-                               got == SIGHUP ? program.reload() : program.drain();
+                             [](evutil_socket_t received_signal, short, void* context) {
+                               auto& program = *static_cast<Program*>(context);
+                               received_signal == SIGHUP ? program.reload() : program.drain();
                              },
                              this),
                          event_free);
@@ -58,12 +59,12 @@
 
 void Program::reload() {
   for (const auto& service : services_) {
-    service->reload([this, kind = service->kind()](const std::string& fault) {
-      if (fault.empty()) {
+    service->reload([this, kind = service->kind()](const std::string& error) {
+      if (error.empty()) {
         log(LogLevel::info, "configuration_taken", {{"front", kind}});
       } else {
-        // Guards against a file that is half written or wrong: it must not cost the calls in work.
-        log(LogLevel::error, "configuration_kept", {{"front", kind}, {"fault", fault}});
+        // A half-written or invalid file must not end the calls in progress.
+        log(LogLevel::error, "configuration_kept", {{"front", kind}, {"fault", error}});
       }
     });
   }
@@ -81,31 +82,31 @@
   for (const auto& service : services_) open += service->router().pending_count();
   log(LogLevel::info, "draining", {{"open", open}});
   for (const auto& service : services_) service->deregister();
-  timers_.schedule(clock_.now_ms() + door_open_ms, [this] {
-    double longest = 0;
+  timers_.schedule(clock_.now_ms() + accept_after_sigterm_ms, [this] {
+    double max_request_ms = 0;
     for (const auto& service : services_) {
       service->refuse_new_requests();
-      longest = std::max(longest, service->max_request_ms());
+      max_request_ms = std::max(max_request_ms, service->max_request_ms());
     }
-    last_call_ = clock_.now_ms() + longest;
+    shutdown_deadline_ms_ = clock_.now_ms() + max_request_ms;
     stop_when_done();
   });
 }
 
 void Program::stop_when_done() {
-  const bool done =
+  const bool all_answered =
       net_.unsent() == 0 && std::all_of(services_.begin(), services_.end(), [](const auto& each) {
         return each->router().pending_count() == 0 && !each->deregistering();
       });
-  // Closing with something unread resets the connection, and what was just written may be lost with it: the
-  // last answers get a moment to arrive.
-  if (done) {
-    timers_.schedule(clock_.now_ms() + arrive_ms, [this] { net_.stop(); });
+  // Closing a connection that has unread input resets it, and the peer may lose what was just written: the
+  // last answers get a short time to be delivered.
+  if (all_answered) {
+    timers_.schedule(clock_.now_ms() + delivery_delay_ms, [this] { net_.stop(); });
     return;
   }
-  // A peer that does not read keeps nobody here past the longest deadline.
-  if (clock_.now_ms() >= last_call_) return net_.stop();
-  timers_.schedule(clock_.now_ms() + last_poll_ms, [this] { stop_when_done(); });
+  // A peer that does not read must not keep the process running past the longest deadline.
+  if (clock_.now_ms() >= shutdown_deadline_ms_) return net_.stop();
+  timers_.schedule(clock_.now_ms() + shutdown_poll_interval_ms, [this] { stop_when_done(); });
 }
 
 }  // namespace heathturn
--- a/src/program.hpp
+++ b/src/program.hpp
@@ -1,4 +1,4 @@
-// The program: its services on one loop, and its life from start to SIGTERM.
+// The program: its services on one event loop, from start to shutdown.
 #pragma once
 
 #include <csignal>
@@ -15,20 +15,23 @@
 
 namespace heathturn {
 
+/// Owns the event loop, the network and the services. Handles SIGTERM, SIGINT and SIGHUP.
 class Program {
  public:
   explicit Program(EventLog& log);
   void add_service(std::unique_ptr<Service> service) { services_.push_back(std::move(service)); }
   /// Serves until SIGTERM, SIGINT or drain(); returns the exit status.
   int run();
-  /// Takes work a little longer, answers all that it has taken, and ends.
+  /// Graceful shutdown: deregisters, accepts requests for a short time more, answers all that it has
+  /// accepted, and makes run() return.
   void drain();
-  /// Something is under way that the end of the process must not wait for.
+  /// Background work is in progress that the end of the process must not wait for.
   [[nodiscard]] bool has_background_work() const;
-  /// Each service reads its file again; what cannot be read leaves its service as it was.
+  /// Each service reads its configuration file again. A service whose file has an error keeps its
+  /// configuration.
   void reload();
   void log(LogLevel level, const char* event, const std::vector<LogField>& fields = {});
-  /// The same for parts that know nothing of the program.
+  /// A sink that calls log(), for parts that do not depend on the program.
   [[nodiscard]] LogSink log_sink();
 
   [[nodiscard]] Clock& clock() { return clock_; }
@@ -41,7 +44,7 @@
 
  private:
   void stop_when_done();
-  void tell_dropped();
+  void report_dropped_lines();
 
   EventLog& log_;
   Clock clock_;
@@ -50,9 +53,9 @@
   Datagrams datagrams_;
   std::vector<std::unique_ptr<Service>> services_;
   double started_ms_ = 0;
-  double last_call_ = 0;
+  double shutdown_deadline_ms_ = 0;
   bool draining_ = false;
-  bool telling_dropped_ = false;
+  bool dropped_report_pending_ = false;
 };
 
 }  // namespace heathturn
