--- a/bench/routes_bench.cpp
+++ b/bench/routes_bench.cpp
@@ -1,5 +1,6 @@
-// Look-ups by longest prefix: the trie against std::map and a linear scan, at 10, 1,000 and 100,000 ranges.
-// Bytes a range are what each takes from the allocator.
+// Longest-prefix look-ups in the trie, in std::map and by a linear scan, with 10, 1,000 and 100,000 ranges,
+// and the weighted round-robin. `bytes_a_range` is the memory that each index takes from the allocator per
+// range.
 #include <benchmark/benchmark.h>
 #include <malloc.h>
 
@@ -17,8 +18,8 @@
 
 using Entries = std::vector<std::pair<std::string, std::uint32_t>>;
 
-/// Prefixes of 1 to 7 digits, as number plans have them: the longer, the more.
-const Entries& entries(std::size_t count) {
+/// Random prefixes of 1 to 7 digits, mostly long ones, as in numbering plans.
+const Entries& random_entries(std::size_t count) {
   static std::map<std::size_t, Entries> all;
   auto& out = all[count];
   if (!out.empty()) return out;
@@ -33,7 +34,8 @@
   return out;
 }
 
-const std::vector<std::string>& numbers() {
+/// Random numbers to look up.
+const std::vector<std::string>& random_numbers() {
   static const auto out = [] {
     std::mt19937 random(8);
     std::vector<std::string> all(4096, std::string(11, '0'));
@@ -45,37 +47,41 @@
   return out;
 }
 
-constexpr std::size_t copies_measured = 16;
+constexpr std::size_t measured_copies = 16;
 
-std::size_t in_use() { return mallinfo2().uordblks + mallinfo2().hblkhd; }
+/// Bytes that the allocator has handed out.
+std::size_t allocated_bytes() { return mallinfo2().uordblks + mallinfo2().hblkhd; }
 
+/// Measures the memory of the index and the time of a look-up.
 template <typename Index, typename Find>
-void run(benchmark::State& state, const std::function<Index(const Entries&)>& make, const Find& find) {
-  const auto& given = entries(static_cast<std::size_t>(state.range(0)));
-  const auto index = make(given);
+void run_look_ups(benchmark::State& state, const std::function<Index(const Entries&)>& make,
+                  const Find& find) {
+  const auto& entries = random_entries(static_cast<std::size_t>(state.range(0)));
+  const auto index = make(entries);
   {
-    // Many at once: what the allocator keeps ready for one does not count then.
+    // Measures many copies, so that memory which the allocator keeps in reserve hardly counts.
     std::vector<Index> copies;
-    copies.reserve(copies_measured);
-    const auto before = in_use();
-    for (std::size_t i = 0; i < copies_measured; ++i) copies.push_back(make(given));
-    state.counters["bytes_a_range"] =
-        static_cast<double>(in_use() - before) / static_cast<double>(copies_measured * given.size());
+    copies.reserve(measured_copies);
+    const auto before = allocated_bytes();
+    for (std::size_t i = 0; i < measured_copies; ++i) copies.push_back(make(entries));
+    state.counters["bytes_a_range"] = static_cast<double>(allocated_bytes() - before) /
+                                      static_cast<double>(measured_copies * entries.size());
   }
   std::size_t at = 0;
-  for (auto _ : state) benchmark::DoNotOptimize(find(index, numbers()[at++ % numbers().size()]));
+  for (auto _ : state)
+    benchmark::DoNotOptimize(find(index, random_numbers()[at++ % random_numbers().size()]));
 }
 
 void trie(benchmark::State& state) {
-  run<PrefixTrie>(
-      state, [](const Entries& given) { return PrefixTrie(given); },
+  run_look_ups<PrefixTrie>(
+      state, [](const Entries& entries) { return PrefixTrie(entries); },
       [](const PrefixTrie& index, const std::string& number) { return index.longest_match(number); });
 }
 
 void ordered_map(benchmark::State& state) {
   using Map = std::map<std::string, std::uint32_t, std::less<>>;
-  run<Map>(
-      state, [](const Entries& given) { return Map(given.begin(), given.end()); },
+  run_look_ups<Map>(
+      state, [](const Entries& entries) { return Map(entries.begin(), entries.end()); },
       [](const Map& index, const std::string& number) {
         for (auto length = number.size() + 1; length-- > 0;) {
           const auto it = index.find(std::string_view(number).substr(0, length));
@@ -86,8 +92,8 @@
 }
 
 void linear_scan(benchmark::State& state) {
-  run<Entries>(
-      state, [](const Entries& given) { return given; },
+  run_look_ups<Entries>(
+      state, [](const Entries& entries) { return entries; },
       [](const Entries& index, const std::string& number) {
         std::uint32_t best = PrefixTrie::no_value;
         std::size_t longest = 0;
@@ -101,13 +107,13 @@
 }
 
 void spread(benchmark::State& state) {
-  WeightedRoundRobin spread;
+  WeightedRoundRobin round_robin;
   std::vector<WeightedRoundRobin::Slot> slots;
   for (std::uint64_t i = 0; i < static_cast<std::uint64_t>(state.range(0)); ++i) {
     slots.push_back({i, static_cast<double>(1 + i % 7)});
   }
-  spread.set_slots(slots);
-  for (auto _ : state) benchmark::DoNotOptimize(spread.next());
+  round_robin.set_slots(slots);
+  for (auto _ : state) benchmark::DoNotOptimize(round_robin.next());
 }
 
 BENCHMARK(trie)->Arg(10)->Arg(1000)->Arg(100000);
--- a/drill/codec.cpp
+++ b/drill/codec.cpp
@@ -206,21 +206,21 @@
 
 }  // namespace
 
-BatchHeader decode_header(std::span<const std::uint8_t, batch_header_size> bytes) {
+BatchHeader decode_header(std::span<const std::uint8_t, batch_header_bytes> bytes) {
   Reader in(bytes, 0);
   BatchHeader header;
-  header.length = in.read_unsigned<std::uint32_t>();
+  header.body_bytes = in.read_unsigned<std::uint32_t>();
   header.now = Time{microseconds(in.read_unsigned<std::uint64_t>())};
-  header.records = in.read_unsigned<std::uint32_t>();
+  header.record_count = in.read_unsigned<std::uint32_t>();
   return header;
 }
 
 std::vector<InstanceEvent> BatchDecoder::decode(const BatchHeader& header,
                                                 std::span<const std::uint8_t> body) {
-  Reader in(body, batch_header_size);
+  Reader in(body, batch_header_bytes);
   std::vector<InstanceEvent> events;
   std::optional<std::uint32_t> instance;
-  for (std::uint32_t i = 0; i < header.records; ++i) {
+  for (std::uint32_t i = 0; i < header.record_count; ++i) {
     const auto code = in.read_unsigned<std::uint8_t>();
     if (code == 120) {
       instance = in.read_unsigned<std::uint32_t>();
@@ -307,30 +307,30 @@
 }
 
 void ReplyEncoder::write_source(std::uint32_t instance) {
-  if (source_ == instance) return;
-  source_ = instance;
+  if (source_instance_ == instance) return;
+  source_instance_ = instance;
   append(body_, std::uint8_t{130});
   append(body_, instance);
-  ++records_;
+  ++record_count_;
 }
 
 void ReplyEncoder::add(std::uint32_t instance, const Action& action) {
   write_source(instance);
   std::visit(ActionWriter{body_}, action);
-  ++records_;
+  ++record_count_;
 }
 
 void ReplyEncoder::add_error(std::uint32_t instance, const std::string& text) {
   write_source(instance);
   append(body_, std::uint8_t{100});
   append_text(body_, text);
-  ++records_;
+  ++record_count_;
 }
 
 std::vector<std::uint8_t> ReplyEncoder::take_frame() {
   std::vector<std::uint8_t> frame;
   frame.reserve(body_.size() + 8);
-  append(frame, records_);
+  append(frame, record_count_);
   append(frame, static_cast<std::uint32_t>(body_.size()));
   frame.insert(frame.end(), body_.begin(), body_.end());
   *this = ReplyEncoder{};
--- a/drill/codec.hpp
+++ b/drill/codec.hpp
@@ -19,13 +19,13 @@
 /// Input that violates the wire format; the message says what is wrong and at which byte of the frame.
 using WireError = InputError;
 
-inline constexpr std::size_t batch_header_size = 16;
+inline constexpr std::size_t batch_header_bytes = 16;
 
 /// Header of a frame of events.
 struct BatchHeader {
-  std::uint32_t length = 0;  ///< of the body, in bytes
+  std::uint32_t body_bytes = 0;
   Time now;
-  std::uint32_t records = 0;
+  std::uint32_t record_count = 0;
 };
 
 /// Starts an instance.
@@ -56,7 +56,7 @@
 };
 
 /// Decodes the header of a frame.
-[[nodiscard]] BatchHeader decode_header(std::span<const std::uint8_t, batch_header_size> bytes);
+[[nodiscard]] BatchHeader decode_header(std::span<const std::uint8_t, batch_header_bytes> bytes);
 
 /// Decodes frames of events. Keeps the directory lists between frames.
 class BatchDecoder {
@@ -83,8 +83,8 @@
   void write_source(std::uint32_t instance);
 
   std::vector<std::uint8_t> body_;
-  std::uint32_t records_ = 0;
-  std::uint64_t source_ = ~std::uint64_t{0};
+  std::uint32_t record_count_ = 0;
+  std::uint64_t source_instance_ = ~std::uint64_t{0};  ///< of the last record; initially no instance
 };
 
 }  // namespace maddershed::drill
--- a/drill/host.hpp
+++ b/drill/host.hpp
@@ -14,8 +14,8 @@
 /// Runs the instances of one process.
 class InstanceHost {
  public:
-  /// Passes a decoded batch of events to the instances and returns the frame of the reply. Throws InputError
-  /// for invalid settings and WireError for an event of an instance that was not launched.
+  /// Passes a decoded batch of events to the instances and returns the frame of the reply. Throws WireError
+  /// for invalid settings and for an event of an instance that was not launched.
   [[nodiscard]] std::vector<std::uint8_t> handle(Time now, const std::vector<InstanceEvent>& events);
 
  private:
--- a/drill/main.cpp
+++ b/drill/main.cpp
@@ -22,7 +22,7 @@
     const auto read_count = std::fread(body.data() + previous_size, 1, body.size() - previous_size, stdin);
     if (read_count < body.size() - previous_size) {
       throw WireError("input ends inside a frame at byte " +
-                      std::to_string(batch_header_size + previous_size + read_count));
+                      std::to_string(batch_header_bytes + previous_size + read_count));
     }
   }
   return body;
@@ -32,14 +32,14 @@
 void serve() {
   BatchDecoder decoder;
   InstanceHost host;
-  std::array<std::uint8_t, batch_header_size> header_bytes{};
+  std::array<std::uint8_t, batch_header_bytes> header_bytes{};
   while (true) {
     const auto read_count = std::fread(header_bytes.data(), 1, header_bytes.size(), stdin);
     if (read_count == 0) return;
     if (read_count < header_bytes.size())
       throw WireError("input ends inside a header at byte " + std::to_string(read_count));
     const auto header = decode_header(header_bytes);
-    const auto body = read_body(header.length);
+    const auto body = read_body(header.body_bytes);
     const auto reply = host.handle(header.now, decoder.decode(header, body));
     if (std::fwrite(reply.data(), 1, reply.size(), stdout) != reply.size() || std::fflush(stdout) != 0) {
       throw WireError("cannot write the reply");
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -1,4 +1,4 @@
-// Bytes of the wire, and what is refused as malformed.
+// Tests of the wire format of the simulator: decoding, encoding, and which frames are rejected as malformed.
 #include "codec.hpp"
 
 #include <gtest/gtest.h>
@@ -17,21 +17,21 @@
 std::vector<InstanceEvent> decode(BatchDecoder& decoder, std::uint32_t records,
                                   const std::vector<std::uint8_t>& body) {
   BatchHeader header;
-  header.length = static_cast<std::uint32_t>(body.size());
-  header.records = records;
+  header.body_bytes = static_cast<std::uint32_t>(body.size());
+  header.record_count = records;
   return decoder.decode(header, body);
 }
 
-TEST(Codec, Header) {
+TEST(Codec, DecodesTheHeader) {
   const auto raw = bytes_from_hex("48000000 5a5c800000000000 05000000");
   const auto header =
-      decode_header(std::span<const std::uint8_t, batch_header_size>(raw.data(), batch_header_size));
-  EXPECT_EQ(header.length, 72U);
+      decode_header(std::span<const std::uint8_t, batch_header_bytes>(raw.data(), batch_header_bytes));
+  EXPECT_EQ(header.body_bytes, 72U);
   EXPECT_EQ(header.now.since_epoch.count(), 0x805c5a);
-  EXPECT_EQ(header.records, 5U);
+  EXPECT_EQ(header.record_count, 5U);
 }
 
-TEST(Codec, OfferedCallTimerAndCallerLeft) {
+TEST(Codec, DecodesOfferedCallTimerAndCallerLeft) {
   BatchDecoder decoder;
   const auto events =
       decode(decoder, 5,
@@ -55,25 +55,26 @@
   EXPECT_EQ(std::get<CallerLeft>(events[2].event).call.value, 0x0003d3770e6f2b19U);
 }
 
-TEST(Codec, ListNumbersAreResolvedInOrder) {
+TEST(Codec, DirectoryUpdateUsesTheLatestListOfItsNumber) {
   BatchDecoder decoder;
-  const std::string first = "6e 00000000 01000000 074a1203 00 00 0000 01 0000803f 0000000000000000";
-  const std::string second = "6e 00000000 01000000 f211902c 01 00 0100 02 0000c03f 20145d0000000000";
+  const std::string first_list = "6e 00000000 01000000 074a1203 00 00 0000 01 0000803f 0000000000000000";
+  const std::string second_list = "6e 00000000 01000000 f211902c 01 00 0100 02 0000c03f 20145d0000000000";
   const std::string update = "14 02 29000000 00000000";
-  const auto events = decode(decoder, 5, bytes_from_hex("78 03000000" + first + update + second + update));
+  const auto events =
+      decode(decoder, 5, bytes_from_hex("78 03000000" + first_list + update + second_list + update));
   ASSERT_EQ(events.size(), 2U);
-  const auto& one = std::get<DirectoryUpdate>(events[0].event);
-  const auto& two = std::get<DirectoryUpdate>(events[1].event);
-  EXPECT_EQ(one.kind, DirectoryUpdate::Kind::cached);
-  ASSERT_EQ(one.entries.size(), 1U);
-  EXPECT_EQ(one.entries[0].exchange.value, 0x03124a07U);
-  EXPECT_FALSE(one.entries[0].started_at);
-  ASSERT_EQ(two.entries.size(), 1U);
-  EXPECT_EQ(two.entries[0].state, ExchangeState::draining);
-  EXPECT_EQ(two.entries[0].started_at, Time{Duration{0x5d1420}});
+  const auto& first_update = std::get<DirectoryUpdate>(events[0].event);
+  const auto& second_update = std::get<DirectoryUpdate>(events[1].event);
+  EXPECT_EQ(first_update.kind, DirectoryUpdate::Kind::cached);
+  ASSERT_EQ(first_update.entries.size(), 1U);
+  EXPECT_EQ(first_update.entries[0].exchange.value, 0x03124a07U);
+  EXPECT_FALSE(first_update.entries[0].started_at);
+  ASSERT_EQ(second_update.entries.size(), 1U);
+  EXPECT_EQ(second_update.entries[0].state, ExchangeState::draining);
+  EXPECT_EQ(second_update.entries[0].started_at, Time{Duration{0x5d1420}});
 }
 
-TEST(Codec, AttemptEnded) {
+TEST(Codec, DecodesTheEndOfAnAttempt) {
   BatchDecoder decoder;
   const auto events =
       decode(decoder, 2,
@@ -92,7 +93,7 @@
   EXPECT_FALSE(report.total_circuits);
 }
 
-TEST(Codec, ReplyOfTwoInstances) {
+TEST(Codec, EncodesTheReplyOfTwoInstances) {
   ReplyEncoder encoder;
   encoder.add(3, SendSetUp{CallId{0x000b83175d3a91c4}, ExchangeId{0x03124a07}, Time{Duration{0x8194da}}});
   encoder.add(3, SetTimer{Time{Duration{0x87fd7a}}, 77});
@@ -106,10 +107,10 @@
   EXPECT_EQ(encoder.take_frame(), bytes_from_hex("00000000 00000000"));
 }
 
-TEST(Codec, MalformedFramesAreNamed) {
+TEST(Codec, RejectsMalformedFrames) {
   BatchDecoder decoder;
   EXPECT_THROW((void)decode(decoder, 2, bytes_from_hex("78 03000000 46 4d000000")), WireError);  // truncated
-  EXPECT_THROW((void)decode(decoder, 1, bytes_from_hex("78 03000000 46")), WireError);           // left over
+  EXPECT_THROW((void)decode(decoder, 1, bytes_from_hex("78 03000000 46")), WireError);       // unread bytes
   EXPECT_THROW((void)decode(decoder, 2, bytes_from_hex("78 03000000 c8")), WireError);       // unknown code
   EXPECT_THROW((void)decode(decoder, 1, bytes_from_hex("46 4d00000000000000")), WireError);  // no instance
   EXPECT_THROW((void)decode(decoder, 1, bytes_from_hex("6e 00000000 ffffffff 074a1203")),
@@ -122,43 +123,43 @@
   return {reply.begin() + 8, reply.end()};
 }
 
-TEST(Hosting, OneProcessAndSeveralActAlike) {
-  InstanceHost together;
-  std::array<InstanceHost, 2> apart;
-  std::size_t acted = 0;
+TEST(InstanceHost, InstancesActTheSameInOneHostAndInSeparateHosts) {
+  InstanceHost common_host;
+  std::array<InstanceHost, 2> separate_hosts;
+  std::size_t reply_bytes = 0;
   for (std::uint64_t step = 0; step < 200; ++step) {
     const Time now{std::chrono::milliseconds{1000 + 10 * step}};
     std::vector<std::uint8_t> expected;
-    std::vector<InstanceEvent> both;
+    std::vector<InstanceEvent> all_events;
     for (std::uint32_t instance = 0; instance < 2; ++instance) {
-      std::vector<InstanceEvent> own;
+      std::vector<InstanceEvent> instance_events;
       if (step == 0) {
-        own.push_back({instance, Launch{instance + 5, test::test_settings}});
+        instance_events.push_back({instance, Launch{instance + 5, test::test_settings}});
         DirectoryUpdate update;
         update.kind = DirectoryUpdate::Kind::cached;
         for (std::uint32_t i = 0; i < 4; ++i) {
           update.entries.push_back({.exchange = ExchangeId{100 + i}, .number = static_cast<int>(i)});
         }
-        own.push_back({instance, update});
+        instance_events.push_back({instance, update});
       }
       CallOffered call;
       call.call = CallId{1000 * (instance + 1) + step};
       call.destination = static_cast<ExchangeNumber>(1 + step % 3);
       call.time_left = std::chrono::seconds{3};
-      own.push_back({instance, call});
-      own.push_back({instance, TimerDue{0}});
-      const auto part = body_of(apart[instance].handle(now, own));
-      expected.insert(expected.end(), part.begin(), part.end());
-      both.insert(both.end(), own.begin(), own.end());
+      instance_events.push_back({instance, call});
+      instance_events.push_back({instance, TimerDue{0}});
+      const auto reply_body = body_of(separate_hosts[instance].handle(now, instance_events));
+      expected.insert(expected.end(), reply_body.begin(), reply_body.end());
+      all_events.insert(all_events.end(), instance_events.begin(), instance_events.end());
     }
-    EXPECT_EQ(body_of(together.handle(now, both)), expected) << step;
-    acted += expected.size();
+    EXPECT_EQ(body_of(common_host.handle(now, all_events)), expected) << step;
+    reply_bytes += expected.size();
   }
-  EXPECT_GT(acted, 1000U);
+  EXPECT_GT(reply_bytes, 1000U);
 }
 
-TEST(ParseSettings, NamesTheKey) {
-  const auto message = [](const std::string& text) {
+TEST(ParseSettings, ErrorNamesTheKey) {
+  const auto error_message = [](const std::string& text) {
     try {
       (void)parse_settings(text);
       return std::string("none");
@@ -166,11 +167,11 @@
       return std::string(error.what());
     }
   };
-  EXPECT_NE(message("").find("classes.count"), std::string::npos);
-  EXPECT_NE(message("classes.count=1\nclasses.0.importance=much").find("classes.0.importance"),
+  EXPECT_NE(error_message("").find("classes.count"), std::string::npos);
+  EXPECT_NE(error_message("classes.count=1\nclasses.0.importance=much").find("classes.0.importance"),
             std::string::npos);
-  EXPECT_NE(message("classes.count=-1").find("classes.count"), std::string::npos);
-  EXPECT_EQ(message(test::test_settings), "none");
+  EXPECT_NE(error_message("classes.count=-1").find("classes.count"), std::string::npos);
+  EXPECT_EQ(error_message(test::test_settings), "none");
 }
 
 TEST(ParseSettings, ReadsClassesAndSkipsUnknownKeys) {
--- a/tests/frames.hpp
+++ b/tests/frames.hpp
@@ -1,4 +1,4 @@
-// Frames written as text, for tests of the wire.
+// Frames written as hexadecimal text, for tests of the wire format.
 #pragma once
 
 #include <cstdint>
@@ -8,7 +8,7 @@
 
 namespace maddershed::test {
 
-/// Hexadecimal digits to bytes; blanks are skipped.
+/// Converts hexadecimal digits to bytes; spaces are skipped.
 inline std::vector<std::uint8_t> bytes_from_hex(std::string_view text) {
   std::vector<std::uint8_t> out;
   std::string digits;
@@ -22,6 +22,7 @@
   return out;
 }
 
+/// Valid settings of the decision module, with two classes.
 inline constexpr const char* test_settings =
     "classes.count=2\nclasses.0.importance=1.0\nclasses.0.objective_us=1500000\nclasses.0.give_up_us="
     "9000000\n"
--- a/tests/router/network_helpers.hpp
+++ b/tests/router/network_helpers.hpp
@@ -1,5 +1,5 @@
-// The one helper of the network tests: the real program as a process, and sockets that play its clients and
-// servers. Every wait ends when what is waited for is there, or fails after `wait_timeout_ms`.
+// Helpers of the network tests: the real program as a process, and sockets that act as its clients and
+// servers. Every wait ends as soon as its condition holds; after `wait_timeout_ms` the test fails.
 #pragma once
 
 #include <arpa/inet.h>
@@ -39,7 +39,7 @@
   return ::poll(&entry, 1, wait_ms) > 0;
 }
 
-/// A socket that closes itself.
+/// A socket, closed on destruction.
 class Socket {
  public:
   explicit Socket(int descriptor = -1) : descriptor_(descriptor) {}
@@ -55,10 +55,10 @@
     if (descriptor_ >= 0) ::close(descriptor_);
     descriptor_ = -1;
   }
-  /// Ends the connection with a reset, as a process that dies does.
+  /// Ends the connection with a reset, like a process that crashes.
   void reset() {
-    const linger off{1, 0};
-    setsockopt(descriptor_, SOL_SOCKET, SO_LINGER, &off, sizeof off);
+    const linger reset_on_close{1, 0};
+    setsockopt(descriptor_, SOL_SOCKET, SO_LINGER, &reset_on_close, sizeof reset_on_close);
     close();
   }
   static Socket connect(const Address& to) {
@@ -72,14 +72,15 @@
     REQUIRE(out.descriptor_ >= 0);
     return out;
   }
-  /// A UDP and a TCP socket on one port: the system picks it for the one, and it may be taken for the other.
+  /// A UDP and a TCP socket on the same port. The system chooses a free UDP port, which may be in use for
+  /// TCP: tries again then.
   static std::pair<Socket, Socket> bound_pair() {
-    for (int tries = 0; tries < 100; ++tries) {
+    for (int attempt = 0; attempt < 100; ++attempt) {
       auto datagrams = bound(SOCK_DGRAM);
       auto streams = try_bound(SOCK_STREAM, datagrams.address());
       if (streams.descriptor_ >= 0) return {std::move(datagrams), std::move(streams)};
     }
-    FAIL("no port is free for both UDP and TCP");
+    FAIL("found no port that is free for both UDP and TCP");
     return bound_pair();
   }
   Socket accept() const {
@@ -96,7 +97,7 @@
     REQUIRE(::send(descriptor_, bytes.data(), bytes.size(), MSG_NOSIGNAL) ==
             static_cast<ssize_t>(bytes.size()));
   }
-  /// Up to and without the line feed; "" when the peer has closed.
+  /// The next line, without its line feed; "" when the peer has closed the connection.
   std::string read_line() {
     while (input_.find('\n') == std::string::npos) {
       if (!fill()) return "";
@@ -112,7 +113,7 @@
     input_.erase(0, count);
     return out;
   }
-  /// The next message that is not of the kinds that mean nothing here.
+  /// The next message, skipping `ended`, `ringing` and `test`.
   Message read_message() {
     while (true) {
       const auto text = read_line();
@@ -123,23 +124,24 @@
     }
   }
   void send_message(const Message& message) const { write(serialize_message(message)); }
-  /// The same to a peer that may have closed.
+  /// Like send_message(), to a peer that may have closed the connection.
   void try_send_message(const Message& message) const {
     const auto bytes = serialize_message(message);
     (void)!::send(descriptor_, bytes.data(), bytes.size(), MSG_NOSIGNAL);
   }
-  /// True when nothing more comes but the end.
+  /// Reads and discards input until the peer closes the connection. Always true, for use in CHECK.
   bool read_until_closed() {
     while (fill()) {
     }
     return true;
   }
+  /// Whether nothing arrives within that time.
   [[nodiscard]] bool no_input_within(int wait_ms) const {
     return input_.empty() && !readable(descriptor_, wait_ms);
   }
   [[nodiscard]] int descriptor() const { return descriptor_; }
 
-  // datagrams
+  // Datagrams.
   void send_to(const Address& to, const std::string& bytes) const {
     const auto address = to.to_sockaddr();
     REQUIRE(::sendto(descriptor_, bytes.data(), bytes.size(), 0, reinterpret_cast<const sockaddr*>(&address),
@@ -150,11 +152,11 @@
     std::string bytes(65535, '\0');
     sockaddr_in in{};
     socklen_t length = sizeof in;
-    const auto got =
+    const auto received =
         ::recvfrom(descriptor_, bytes.data(), bytes.size(), 0, reinterpret_cast<sockaddr*>(&in), &length);
-    REQUIRE(got >= 0);
+    REQUIRE(received >= 0);
     if (from != nullptr) *from = Address::from(in);
-    bytes.resize(static_cast<std::size_t>(got));
+    bytes.resize(static_cast<std::size_t>(received));
     return bytes;
   }
 
@@ -171,36 +173,36 @@
   bool fill() {
     REQUIRE(readable(descriptor_, wait_timeout_ms));
     char buffer[4096];
-    const auto got = ::recv(descriptor_, buffer, sizeof buffer, 0);
-    if (got <= 0) return false;
-    input_.append(buffer, static_cast<std::size_t>(got));
+    const auto received = ::recv(descriptor_, buffer, sizeof buffer, 0);
+    if (received <= 0) return false;
+    input_.append(buffer, static_cast<std::size_t>(received));
     return true;
   }
   int descriptor_;
   std::string input_;
 };
 
-/// The program as a process. It is ended with the object.
+/// The program as a child process, killed on destruction.
 class Process {
  public:
-  explicit Process(const std::vector<std::string>& arguments, rlim_t descriptors = 1024) {
-    int ends[2];
-    REQUIRE(::pipe2(ends, O_CLOEXEC) == 0);
+  explicit Process(const std::vector<std::string>& arguments, rlim_t max_descriptors = 1024) {
+    int pipe_ends[2];
+    REQUIRE(::pipe2(pipe_ends, O_CLOEXEC) == 0);
     pid_ = ::fork();
     if (pid_ == 0) {
-      ::dup2(ends[1], 1);
-      ::dup2(ends[1], 2);
-      const rlimit limit{descriptors, descriptors};
+      ::dup2(pipe_ends[1], 1);
+      ::dup2(pipe_ends[1], 2);
+      const rlimit limit{max_descriptors, max_descriptors};
       ::setrlimit(RLIMIT_NOFILE, &limit);
       ::unsetenv("PROXY_CONFIG");
-      std::vector<char*> words = {const_cast<char*>(HEATHTURN_PROGRAM)};
-      for (const auto& each : arguments) words.push_back(const_cast<char*>(each.c_str()));
-      words.push_back(nullptr);
-      ::execv(HEATHTURN_PROGRAM, words.data());
+      std::vector<char*> argument_pointers = {const_cast<char*>(HEATHTURN_PROGRAM)};
+      for (const auto& argument : arguments) argument_pointers.push_back(const_cast<char*>(argument.c_str()));
+      argument_pointers.push_back(nullptr);
+      ::execv(HEATHTURN_PROGRAM, argument_pointers.data());
       ::_exit(127);
     }
-    ::close(ends[1]);
-    output_ = ends[0];
+    ::close(pipe_ends[1]);
+    output_ = pipe_ends[0];
   }
   Process(const Process&) = delete;
   Process& operator=(const Process&) = delete;
@@ -211,49 +213,51 @@
     }
     ::close(output_);
   }
-  /// The rest of the first line, from here on, that holds `words`.
-  std::string wait_for_log(const std::string& words) {
+  /// Waits for a line of output that contains `text`; returns what follows it in that line. Lines before it
+  /// are skipped.
+  std::string wait_for_log(const std::string& text) {
     while (true) {
       while (true) {
-        const auto end = text_.find('\n');
+        const auto end = unread_output_.find('\n');
         if (end == std::string::npos) break;
-        const auto line = text_.substr(0, end);
-        text_.erase(0, end + 1);
-        const auto at = line.find(words);
-        if (at != std::string::npos) return line.substr(at + words.size());
+        const auto line = unread_output_.substr(0, end);
+        unread_output_.erase(0, end + 1);
+        const auto at = line.find(text);
+        if (at != std::string::npos) return line.substr(at + text.size());
       }
-      INFO("waiting for the log to say: " << words);
+      INFO("waiting for this text in the log: " << text);
       REQUIRE(fill());
     }
   }
-  /// All that it says until it closes its output.
+  /// All further output, until the process closes it.
   std::string read_remaining_output() {
     while (fill()) {
     }
-    return std::exchange(text_, "");
+    return std::exchange(unread_output_, "");
   }
+  /// Waits until the program listens on that side; returns the address.
   Address wait_for_listening_address(const std::string& side) {
     return *Address::parse(wait_for_log("side=" + side + " at="));
   }
   void signal(int number) const { ::kill(pid_, number); }
-  /// The same as wait_for_exit(), with nothing of its output read.
+  /// Like wait_for_exit(), without reading the output.
   int wait_for_exit_without_reading() {
-    const double until = now_ms() + wait_timeout_ms;
+    const double deadline_ms = now_ms() + wait_timeout_ms;
     int status = 0;
     while (::waitpid(pid_, &status, WNOHANG) == 0) {
-      REQUIRE(now_ms() < until);
+      REQUIRE(now_ms() < deadline_ms);
       ::poll(nullptr, 0, 10);
     }
     pid_ = -1;
     return WIFEXITED(status) ? WEXITSTATUS(status) : -1;
   }
-  /// Its exit status; -1 when a signal ended it.
+  /// Waits for the process to end. Returns its exit status, or -1 if a signal ended it.
   int wait_for_exit() {
-    const double until = now_ms() + wait_timeout_ms;
+    const double deadline_ms = now_ms() + wait_timeout_ms;
     int status = 0;
-    // Its output is read on, so that it never stands on a full pipe.
+    // The output is read meanwhile, so that the process does not block on a full pipe.
     while (::waitpid(pid_, &status, WNOHANG) == 0) {
-      REQUIRE(now_ms() < until);
+      REQUIRE(now_ms() < deadline_ms);
       char buffer[4096];
       if (readable(output_, 10)) (void)!::read(output_, buffer, sizeof buffer);
     }
@@ -265,16 +269,16 @@
   bool fill() {
     REQUIRE(readable(output_, wait_timeout_ms));
     char buffer[4096];
-    const auto got = ::read(output_, buffer, sizeof buffer);
-    if (got > 0) text_.append(buffer, static_cast<std::size_t>(got));
-    return got > 0;
+    const auto received = ::read(output_, buffer, sizeof buffer);
+    if (received > 0) unread_output_.append(buffer, static_cast<std::size_t>(received));
+    return received > 0;
   }
   pid_t pid_ = -1;
   int output_ = -1;
-  std::string text_;
+  std::string unread_output_;
 };
 
-/// A file that goes with the object.
+/// A temporary file, removed on destruction.
 class TempFile {
  public:
   explicit TempFile(const std::string& text) {
