--- a/drill/codec.cpp
+++ b/drill/codec.cpp
@@ -41,7 +41,7 @@
     if (count > (bytes_.size() - offset_) / size) fail("record extends past the end of the frame");
   }
   [[noreturn]] void fail(const std::string& message) const {
-    throw WireError(message + " (read up to byte " + std::to_string(frame_offset()) + ")");
+    throw WireError(message + ", read up to byte " + std::to_string(frame_offset()));
   }
   [[nodiscard]] std::size_t frame_offset() const { return base_offset_ + offset_; }
   [[nodiscard]] bool at_end() const { return offset_ == bytes_.size(); }
--- a/src/emulator/plot.cpp
+++ b/src/emulator/plot.cpp
@@ -9,8 +9,8 @@
 namespace {
 
 // Size of one plot and its margins, in SVG user units.
-constexpr double plot_width = 720, plot_height = 300;
-constexpr double left_margin = 80, right_margin = 140, top_margin = 40, bottom_margin = 50;
+constexpr double plot_width = 720, plot_height = 300, left_margin = 80, right_margin = 140, top_margin = 40,
+                 bottom_margin = 50;
 constexpr std::array<const char*, 4> colours = {"#1b6ca8", "#c2571a", "#3a7d44", "#7a3b8f"};
 constexpr int tick_count = 5;
 
