--- a/src/config/explain.hpp
+++ b/src/config/explain.hpp
@@ -1,4 +1,5 @@
-// What the settings say of one number: its class, the routes looked at, the pool and the policy.
+// Explains which settings apply to a number: its class, the routes that were considered, the pools and the
+// policy.
 #pragma once
 
 #include <optional>
@@ -9,16 +10,17 @@
 
 namespace heathturn {
 
+/// A look-up to be explained.
 struct NumberQuery {
   std::string number;
-  std::string class_name;   ///< empty: the number's
-  std::string tenant_name;  ///< empty: none
-  std::optional<std::uint16_t> minute_of_week;
+  std::string class_name;                       ///< empty: the class of the number, or of its tenant
+  std::string tenant_name;                      ///< empty: none
+  std::optional<std::uint16_t> minute_of_week;  ///< default: 0, Monday 00:00
 };
 
-/// Lines of text. Throws InputError when the question names what is not there.
-[[nodiscard]] std::string explain_number(const EnumConfig& config, const NumberQuery& question);
-/// One setting a line, `key = value  # origin`.
-[[nodiscard]] std::string notes_text(const std::vector<ResolvedSetting>& notes);
+/// Returns several lines of text. Throws InputError for an invalid number, or an unknown class or tenant.
+[[nodiscard]] std::string explain_number(const EnumConfig& config, const NumberQuery& query);
+/// Lists one setting a line, as `key = value  # origin`.
+[[nodiscard]] std::string settings_listing(const std::vector<ResolvedSetting>& settings);
 
 }  // namespace heathturn
--- a/src/config_commands.cpp
+++ b/src/config_commands.cpp
@@ -17,20 +17,21 @@
 namespace heathturn {
 namespace {
 
-constexpr int in_order = 0, has_faults = 1, not_done = 2;
+/// Exit statuses: no findings; errors or differences were found; a file cannot be used.
+constexpr int exit_ok = 0, exit_findings = 1, exit_unusable = 2;
 
 void print(FILE* to, const Diagnostics& diagnostics) {
   for (const auto& each : diagnostics.all()) std::fprintf(to, "%s\n", each.to_text().c_str());
   if (diagnostics.omitted_count() > 0) std::fprintf(to, "and %zu more\n", diagnostics.omitted_count());
 }
 
-/// The files that TLS needs, as a start of the program would find them.
+/// Loads the TLS files as the program does at its start.
 void check_tls(const EnumConfig& config, Diagnostics& diagnostics) {
-  const auto check = [&](const std::string& key, const std::optional<tls::TlsConfig>& set,
+  const auto check = [&](const std::string& key, const std::optional<tls::TlsConfig>& tls_config,
                          const SourceLocation& location) {
-    if (!set) return;
+    if (!tls_config) return;
     try {
-      const tls::Context context(*set, Clock().now_ms());
+      const tls::Context context(*tls_config, Clock().now_ms());
     } catch (const std::exception& error) {
       diagnostics.add({config.files[location.file], static_cast<int>(location.line),
                        static_cast<int>(location.column), key, error.what(), "", false});
@@ -41,14 +42,14 @@
 }
 
 int check(const std::vector<std::string>& files, const std::string& platform, bool strict) {
-  int status = in_order;
+  int status = exit_ok;
   for (const auto& file : files) {
     Diagnostics diagnostics;
     const auto config = read_site(file, diagnostics);
     if (!diagnostics.has_errors()) check_tls(config, diagnostics);
     print(stdout, diagnostics);
     if (diagnostics.has_errors() || (strict && !diagnostics.all().empty())) {
-      status = has_faults;
+      status = exit_findings;
     } else {
       std::printf("%s: in order, %zu pools, %zu policies, %zu routes\n", file.c_str(), config.pools.size(),
                   config.policies.size(), config.routes.size());
@@ -60,7 +61,7 @@
     std::printf("%s: in order, %zu converters known\n", platform.c_str(), config.known_converters.size());
   } catch (const std::exception& error) {
     std::printf("%s: %s\n", platform.c_str(), error.what());
-    status = has_faults;
+    status = exit_findings;
   }
   return status;
 }
@@ -70,41 +71,41 @@
   std::string text;
   if (!read_source_file(file, max_file_bytes, text, {file, 0, 0, "file", "", "", false}, diagnostics)) {
     print(stderr, diagnostics);
-    return not_done;
+    return exit_unusable;
   }
   const auto formatted = format_source(file, text, diagnostics);
   if (!formatted) {
     print(stderr, diagnostics);
-    return not_done;
+    return exit_unusable;
   }
   if (only_check) {
-    if (*formatted == text) return in_order;
+    if (*formatted == text) return exit_ok;
     std::printf("%s: not in its layout; `heathturn config fmt --write %s` puts it right\n", file.c_str(),
                 file.c_str());
-    return has_faults;
+    return exit_findings;
   }
   if (!write) {
     std::fwrite(formatted->data(), 1, formatted->size(), stdout);
   } else if (*formatted != text) {
     replace_file(file, *formatted);
   }
-  return in_order;
+  return exit_ok;
 }
 
-/// False, with the faults told, when the file is of no use.
-bool load(const std::string& file, EnumConfig& config, std::vector<ResolvedSetting>* notes = nullptr) {
+/// Reads a file. Returns false and prints the diagnostics when it cannot be used.
+bool load(const std::string& file, EnumConfig& config, std::vector<ResolvedSetting>* settings = nullptr) {
   Diagnostics diagnostics;
-  config = read_site(file, diagnostics, notes);
+  config = read_site(file, diagnostics, settings);
   if (!diagnostics.has_errors()) return true;
   print(stderr, diagnostics);
   return false;
 }
 
 int diff(const std::string& before, const std::string& after, bool json) {
-  EnumConfig old, fresh;
-  const bool good = load(before, old);
-  if (!load(after, fresh) || !good) return not_done;
-  const auto difference = diff_sites(old, fresh);
+  EnumConfig old, current;
+  const bool old_is_usable = load(before, old);
+  if (!load(after, current) || !old_is_usable) return exit_unusable;
+  const auto difference = diff_sites(old, current);
   if (json) {
     std::printf("%s\n", to_json(difference).c_str());
   } else {
@@ -113,26 +114,26 @@
     }
     if (const auto summary = difference.summary(); !summary.empty()) std::printf("%s\n", summary.c_str());
   }
-  return difference.changes.empty() ? in_order : has_faults;
+  return difference.changes.empty() ? exit_ok : exit_findings;
 }
 
-int show(const std::string& file, const NumberQuery& question, const std::string& at) {
+int show(const std::string& file, const NumberQuery& query, const std::string& at) {
   EnumConfig config;
-  std::vector<ResolvedSetting> notes;
-  if (!load(file, config, question.number.empty() ? &notes : nullptr)) return not_done;
-  auto asked = question;
+  std::vector<ResolvedSetting> settings;
+  if (!load(file, config, query.number.empty() ? &settings : nullptr)) return exit_unusable;
+  auto query_at_time = query;
   if (!at.empty()) {
-    // A moment is written as a span of times is, without its end.
+    // A time of the week has the form of a span without its end.
     const auto spans = units::parse_week_spans(at + "-24:00");
     if (!spans.value || spans.value->size() != 1) {
       throw maddershed::InputError("--at: \"" + at +
-                                   "\" is no moment of the week; expected one such as \"Mon 09:30\"");
+                                   "\" is not a time of the week; expected one such as \"Mon 09:30\"");
     }
-    asked.minute_of_week = spans.value->front().from;
+    query_at_time.minute_of_week = spans.value->front().from;
   }
-  const auto text = question.number.empty() ? notes_text(notes) : explain_number(config, asked);
+  const auto text = query.number.empty() ? settings_listing(settings) : explain_number(config, query_at_time);
   std::fwrite(text.data(), 1, text.size(), stdout);
-  return in_order;
+  return exit_ok;
 }
 
 int convert(const std::string& file, const std::string& out) {
@@ -142,13 +143,14 @@
   } else {
     replace_file(out, text);
   }
-  return in_order;
+  return exit_ok;
 }
 
-struct Words {
+/// Arguments of all sub-commands.
+struct Options {
   std::vector<std::string> files;
-  std::string file, other, platform, out, at;
-  NumberQuery question;
+  std::string file, new_file, platform, out, at;
+  NumberQuery query;
   bool strict = false, only_check = false, write = false, json = false;
 };
 
@@ -157,56 +159,60 @@
 void add_config_commands(CLI::App& app, int& status) {
   auto* config = app.add_subcommand("config", "Check, format, compare, show and convert the operator's file");
   config->require_subcommand(1);
-  auto words = std::make_shared<Words>();
-  const auto file = [words](CLI::App* command) {
-    command->add_option("file", words->file, "The operator's file")->required();
+  auto options = std::make_shared<Options>();
+  const auto file = [options](CLI::App* command) {
+    command->add_option("file", options->file, "The operator's file")->required();
   };
 
   auto* checking =
-      config->add_subcommand("check", "Name every fault of the files, one a line, with its place");
-  checking->add_option("files", words->files, "Operators' files");
-  checking->add_option("--platform", words->platform, "A configuration as the platform gives it (JSON)");
-  checking->add_flag("--strict", words->strict, "Warnings are faults");
-  checking->footer("Exit status: 0 in order, 1 faults were found.");
-  checking->callback([words, &status] {
-    if (words->files.empty() && words->platform.empty()) throw CLI::RequiredError("a file, or --platform,");
-    status = check(words->files, words->platform, words->strict);
+      config->add_subcommand("check", "Report every error in the files, one a line, with its location");
+  checking->add_option("files", options->files, "The operator's files");
+  checking->add_option("--platform", options->platform, "A configuration from the platform (JSON)");
+  checking->add_flag("--strict", options->strict, "Treat warnings as errors");
+  checking->footer("Exit status: 0 no errors, 1 errors were found.");
+  checking->callback([options, &status] {
+    if (options->files.empty() && options->platform.empty())
+      throw CLI::RequiredError("a file, or --platform,");
+    status = check(options->files, options->platform, options->strict);
   });
 
-  auto* formatting = config->add_subcommand("fmt", "Print the file in its layout; every comment stays");
+  auto* formatting = config->add_subcommand("fmt", "Print the formatted file; all comments are kept");
   file(formatting);
   auto* only_check =
-      formatting->add_flag("--check", words->only_check, "Only say whether it is in its layout");
-  formatting->add_flag("--write", words->write, "Replace the file, in one step")->excludes(only_check);
+      formatting->add_flag("--check", options->only_check, "Only check whether the file is formatted");
+  formatting->add_flag("--write", options->write, "Replace the file atomically")->excludes(only_check);
   formatting->footer(
-      "Exit status: 0 done, or in its layout; 1 not in its layout (--check); 2 it cannot be read.");
-  formatting->callback([words, &status] { status = format(words->file, words->only_check, words->write); });
-
-  auto* comparing = config->add_subcommand("diff", "Say what changes in meaning between two versions");
-  comparing->add_option("old", words->file, "The version before")->required();
-  comparing->add_option("new", words->other, "The version after")->required();
-  comparing->add_flag("--json", words->json, "For programs");
-  comparing->footer("Exit status: 0 nothing changes, 1 something does, 2 a file cannot be used.");
-  comparing->callback([words, &status] { status = diff(words->file, words->other, words->json); });
-
-  auto* showing = config->add_subcommand("show", "Print every setting as resolved and where it came from");
+      "Exit status: 0 done, or already formatted; 1 not formatted (--check); 2 the file cannot be read.");
+  formatting->callback(
+      [options, &status] { status = format(options->file, options->only_check, options->write); });
+
+  auto* comparing = config->add_subcommand("diff", "Describe how two versions differ in their effect");
+  comparing->add_option("old", options->file, "The old version")->required();
+  comparing->add_option("new", options->new_file, "The new version")->required();
+  comparing->add_flag("--json", options->json, "Print the changes as JSON");
+  comparing->footer("Exit status: 0 no changes, 1 changes, 2 a file cannot be used.");
+  comparing->callback([options, &status] { status = diff(options->file, options->new_file, options->json); });
+
+  auto* showing = config->add_subcommand("show", "Print every resolved setting and its origin");
   file(showing);
   auto* number =
-      showing->add_option("--number", words->question.number, "Explain what this number gets instead");
-  showing->add_option("--class", words->question.class_name, "As a look-up of this class")->needs(number);
-  showing->add_option("--tenant", words->question.tenant_name, "Asked by this tenant")->needs(number);
+      showing->add_option("--number", options->query.number, "Explain how this number is routed instead");
+  showing->add_option("--class", options->query.class_name, "Assume a look-up of this class")->needs(number);
+  showing->add_option("--tenant", options->query.tenant_name, "Assume a look-up by this tenant")
+      ->needs(number);
   showing
-      ->add_option("--at", words->at,
-                   "At this moment of the week, such as \"Mon 09:30\" (the default: Mon 00:00)")
+      ->add_option("--at", options->at,
+                   "Assume this time of the week, such as \"Mon 09:30\" (default: Mon 00:00)")
       ->needs(number);
   showing->footer("Exit status: 0 shown, 2 the file cannot be used.");
-  showing->callback([words, &status] { status = show(words->file, words->question, words->at); });
+  showing->callback([options, &status] { status = show(options->file, options->query, options->at); });
 
-  auto* converting = config->add_subcommand("convert", "Rewrite the JSON form of version 0.3 and before");
+  auto* converting = config->add_subcommand("convert", "Convert the JSON form of version 0.3 and earlier");
   file(converting);
-  converting->add_option("--out", words->out, "Write there, in one step, instead of to standard output");
-  converting->footer("Exit status: 0 done, 1 it cannot be converted.");
-  converting->callback([words, &status] { status = convert(words->file, words->out); });
+  converting->add_option("--out", options->out,
+                         "Write to this file, atomically, instead of to standard output");
+  converting->footer("Exit status: 0 done, 1 the file cannot be converted.");
+  converting->callback([options, &status] { status = convert(options->file, options->out); });
 }
 
 }  // namespace heathturn
