--- a/tests/router/config_test.cpp
+++ b/tests/router/config_test.cpp
@@ -1,4 +1,4 @@
-// The language of the operator's file: its units, its faults one by one, its layout, and what a change means.
+// Tests of the operator's files: units, diagnostics, formatting, conversion, and comparison of two versions.
 #include <rapidcheck.h>
 #include <sys/stat.h>
 
@@ -23,40 +23,43 @@
 
 #define PROPERTY(name, ...) REQUIRE(rc::check(name, __VA_ARGS__))
 
-/// A folder that goes with the object.
-struct Folder {
+/// A temporary directory that is removed with the object.
+struct TempDirectory {
   fs::path path;
-  Folder() {
+  TempDirectory() {
     std::string name = "/tmp/heathturn-test-XXXXXX";
     REQUIRE(::mkdtemp(name.data()) != nullptr);
     path = name;
   }
-  ~Folder() { fs::remove_all(path); }
-  Folder(const Folder&) = delete;
-  Folder& operator=(const Folder&) = delete;
+  ~TempDirectory() { fs::remove_all(path); }
+  TempDirectory(const TempDirectory&) = delete;
+  TempDirectory& operator=(const TempDirectory&) = delete;
   std::string write(const std::string& name, const std::string& text) const {
     std::ofstream(path / name, std::ios::binary) << text;
     return (path / name).string();
   }
 };
 
-struct Ran {
+/// Exit status of a finished program, and its output on standard output and error.
+struct ProgramResult {
   int status = 0;
   std::string out;
 };
-Ran run(const std::vector<std::string>& arguments) {
+ProgramResult run(const std::vector<std::string>& arguments) {
   Process program(arguments);
-  Ran out;
+  ProgramResult out;
   out.out = program.read_remaining_output();
   out.status = program.wait_for_exit();
   return out;
 }
 
-bool holds(const std::string& text, const std::string& part) { return text.find(part) != std::string::npos; }
+bool contains(const std::string& text, const std::string& part) {
+  return text.find(part) != std::string::npos;
+}
 
 // ---- Units ----------------------------------------------------------------------------------------------
 
-TEST_CASE("durations, shares, sizes and rates have units, and say so") {
+TEST_CASE("durations, shares, sizes and rates require units") {
   CHECK(*units::parse_duration("300ms").value == 300);
   CHECK(*units::parse_duration("1.5s").value == 1500);
   CHECK(*units::parse_duration("2m").value == 120000);
@@ -85,21 +88,21 @@
   CHECK(units::rate_text(*units::parse_rate("7/h").value) == "7/h");
 }
 
-TEST_CASE("times of the week: over midnight, over Sunday, and written back the same") {
+TEST_CASE("times of the week may cross midnight and Sunday, and are formatted without a change of meaning") {
   const auto text = [](const char* given) {
     const auto spans = units::parse_week_spans(given);
-    return spans.value ? units::week_text(*spans.value) : "fault: " + spans.error;
+    return spans.value ? units::week_text(*spans.value) : "error: " + spans.error;
   };
   CHECK(text("Mon-Tue 08:00-18:00") == "Mon 08:00-18:00, Tue 08:00-18:00");
   CHECK(text("Sun 22:00-06:00") == "Mon 00:00-06:00, Sun 22:00-24:00");
   CHECK(text("Sat-Mon") == "Mon, Sat, Sun");
   CHECK(text("Sat 08:00-12:00, Sat 11:00-13:00") == "Sat 08:00-13:00");
   CHECK(text("Fri 18:00-24:00,Sat") == "Fri 18:00-24:00, Sat");
-  CHECK(text("Mon 25:00-26:00") == "fault: has the invalid time \"25:00-26:00\"");
-  CHECK(text("Mo 08:00-09:00") == "fault: has the unknown day \"Mo\"");
-  CHECK(text("Mon 08:00-08:00") == "fault: has the invalid time \"08:00-08:00\"");
-  CHECK(text("Mon,,Tue") == "fault: has an empty part");
-  PROPERTY("written and read again", [](unsigned seed) {
+  CHECK(text("Mon 25:00-26:00") == "error: has the invalid time \"25:00-26:00\"");
+  CHECK(text("Mo 08:00-09:00") == "error: has the unknown day \"Mo\"");
+  CHECK(text("Mon 08:00-08:00") == "error: has the invalid time \"08:00-08:00\"");
+  CHECK(text("Mon,,Tue") == "error: has an empty part");
+  PROPERTY("formatted and parsed again", [](unsigned seed) {
     std::mt19937 random(seed);
     std::vector<units::WeekSpan> spans;
     std::uint16_t at = 0;
@@ -112,89 +115,91 @@
   });
 }
 
-// ---- Faults ---------------------------------------------------------------------------------------------
+// ---- Diagnostics -----------------------------------------------------------------------------------------
 
-/// Of each file, the message that it must lead to stands in its first line: `# expect LINE:COL: ...`.
-TEST_CASE("each broken file of the corpus yields its one message, with its place") {
-  const fs::path folder = fs::path(HEATHTURN_TEST_FILES) / "broken";
+/// The first line of each file has the diagnostic that it must cause: `# expect FILE:LINE:COLUMN: ...`.
+TEST_CASE("each broken file of the corpus yields the expected diagnostic with its location, and no other") {
+  const fs::path directory = fs::path(HEATHTURN_TEST_FILES) / "broken";
   std::size_t files = 0;
-  for (const auto& entry : fs::directory_iterator(folder)) {
+  for (const auto& entry : fs::directory_iterator(directory)) {
     const auto path = entry.path().string();
     if (!path.ends_with(".textproto")) continue;
     ++files;
     INFO(entry.path().filename());
     std::ifstream in(path);
-    std::string first;
-    std::getline(in, first);
-    REQUIRE(first.starts_with("# expect "));
+    std::string first_line;
+    std::getline(in, first_line);
+    REQUIRE(first_line.starts_with("# expect "));
     Diagnostics diagnostics;
     (void)read_site(path, diagnostics);
-    std::string told;
-    for (const auto& each : diagnostics.all()) told += (told.empty() ? "" : "\n") + each.to_text();
-    // Places in other files of the corpus are told by their whole path.
-    for (auto at = told.find(folder.string() + "/"); at != std::string::npos;
-         at = told.find(folder.string() + "/")) {
-      told.erase(at, folder.string().size() + 1);
+    std::string reported;
+    for (const auto& each : diagnostics.all()) reported += (reported.empty() ? "" : "\n") + each.to_text();
+    // Locations in the corpus have full paths; they are made relative to its directory.
+    for (auto at = reported.find(directory.string() + "/"); at != std::string::npos;
+         at = reported.find(directory.string() + "/")) {
+      reported.erase(at, directory.string().size() + 1);
     }
-    CHECK(told == first.substr(9));
+    CHECK(reported == first_line.substr(9));
     CHECK(diagnostics.all().size() == 1);
   }
   CHECK(files >= 60);
 }
 
-std::string only_fault(const std::string& path) {
+std::string only_diagnostic(const std::string& path) {
   Diagnostics diagnostics;
   (void)read_site(path, diagnostics);
   REQUIRE(diagnostics.all().size() == 1);
   return diagnostics.all().front().to_text();
 }
 
-TEST_CASE("an include cycle through three files names the whole chain; a file read by two ways counts once") {
-  const Folder folder;
-  const auto at = (folder.path / "").string();
-  folder.write("a.textproto", "include: \"b.textproto\"\n");
-  folder.write("b.textproto", "\ninclude: \"c.textproto\"\n");
-  folder.write("c.textproto", "\n\n  include: \"a.textproto\"\n");
-  CHECK(only_fault(at + "a.textproto")
-            .starts_with(at + "c.textproto:3:3: include: an include cycle: " + at + "a.textproto -> " + at +
-                         "b.textproto -> " + at + "c.textproto -> " + at + "a.textproto; expected "));
+TEST_CASE(
+    "an include cycle through three files is reported with the whole chain; a file that is included twice is "
+    "read once") {
+  const TempDirectory directory;
+  const auto prefix = (directory.path / "").string();
+  directory.write("a.textproto", "include: \"b.textproto\"\n");
+  directory.write("b.textproto", "\ninclude: \"c.textproto\"\n");
+  directory.write("c.textproto", "\n\n  include: \"a.textproto\"\n");
+  CHECK(only_diagnostic(prefix + "a.textproto")
+            .starts_with(prefix + "c.textproto:3:3: include: an include cycle: " + prefix +
+                         "a.textproto -> " + prefix + "b.textproto -> " + prefix + "c.textproto -> " +
+                         prefix + "a.textproto; expected "));
   const auto text = read_file(HEATHTURN_SITE_FILE);
-  folder.write("site.textproto", text);
-  folder.write("left.textproto", "include: \"site.textproto\"\n");
-  const auto top = folder.write("top.textproto", "include: [\"left.textproto\", \"./site.textproto\"]\n");
+  directory.write("site.textproto", text);
+  directory.write("left.textproto", "include: \"site.textproto\"\n");
+  const auto top = directory.write("top.textproto", "include: [\"left.textproto\", \"./site.textproto\"]\n");
   CHECK(load_site(top).routes.size() == 3);
 }
 
-TEST_CASE("files that are none, too large, cut off, or not text are told of and not waited for") {
-  const Folder folder;
-  CHECK(holds(only_fault(folder.path.string()), "is a directory; expected a text file"));
-  CHECK(holds(only_fault((folder.path / "none").string()), "cannot be read: No such file"));
-  const auto pipe = (folder.path / "pipe").string();
+TEST_CASE("missing, special, too large, truncated and binary files are reported without blocking") {
+  const TempDirectory directory;
+  CHECK(contains(only_diagnostic(directory.path.string()), "is a directory; expected a text file"));
+  CHECK(contains(only_diagnostic((directory.path / "none").string()), "cannot be read: No such file"));
+  const auto pipe = (directory.path / "pipe").string();
   REQUIRE(::mkfifo(pipe.c_str(), 0600) == 0);
-  CHECK(holds(only_fault(pipe), "is not a regular file"));
-  const auto loop = folder.path / "loop";
+  CHECK(contains(only_diagnostic(pipe), "is not a regular file"));
+  const auto loop = directory.path / "loop";
   fs::create_symlink(loop, loop);
-  CHECK(holds(only_fault(loop.string()), "cannot be read: Too many levels"));
-  const auto large = folder.write("large", "#");
+  CHECK(contains(only_diagnostic(loop.string()), "cannot be read: Too many levels"));
+  const auto large = directory.write("large", "#");
   fs::resize_file(large, 60'000'000);
-  CHECK(holds(only_fault(large), "has 60000000 bytes; expected no more than 33554432"));
+  CHECK(contains(only_diagnostic(large), "has 60000000 bytes; expected no more than 33554432"));
   const auto text = read_file(HEATHTURN_SITE_FILE);
-  const auto latin = folder.write("latin", "listen: \"127.0.0.1:1\"\n# caf\xe9\n");
-  CHECK(only_fault(latin) ==
-        latin + ":2:6: syntax: invalid byte; expected UTF-8 without zero bytes");
-  // Cut off anywhere, it is either told of in one or more faults, or it is whole as far as it goes.
-  std::size_t told = 0;
+  const auto latin = directory.write("latin", "listen: \"127.0.0.1:1\"\n# caf\xe9\n");
+  CHECK(only_diagnostic(latin) == latin + ":2:6: syntax: invalid byte; expected UTF-8 without zero bytes");
+  // A truncated file is either reported, or its part is a valid file.
+  std::size_t rejected = 0;
   for (std::size_t length = 0; length < text.size(); length += 7) {
-    const auto path = folder.write("cut", text.substr(0, length));
+    const auto path = directory.write("cut", text.substr(0, length));
     Diagnostics diagnostics;
     (void)read_site(path, diagnostics);
-    if (diagnostics.has_errors()) ++told;
+    if (diagnostics.has_errors()) ++rejected;
   }
-  CHECK(told > text.size() / 7 / 2);
+  CHECK(rejected > text.size() / 7 / 2);
 }
 
-TEST_CASE("all faults of a file are told in one run, and its warnings are no faults unless asked") {
-  const Folder folder;
+TEST_CASE("all errors of a file are reported in one run, and warnings are errors only with --strict") {
+  const TempDirectory directory;
   auto text = read_file(HEATHTURN_SITE_FILE);
   const auto replace = [&text](const std::string& from, const std::string& to) {
     const auto at = text.find(from);
@@ -206,29 +211,32 @@
   replace("policy: \"quick\"", "policy: \"quack\"");
   replace("worth: 2", "wroth: 2");
   replace("aim: \"1s\"", "aim: \"1\"");
-  const auto broken = folder.write("broken", text);
-  const auto ran = run({"config", "check", broken});
-  CHECK(ran.status == 1);
-  CHECK(std::count(ran.out.begin(), ran.out.end(), '\n') == 5);
-  CHECK(holds(ran.out, "deadline: 1500 has no unit; expected a duration such as"));
-  CHECK(holds(ran.out, "pool.north.member.north.address: \"nowhere\" is not an address"));
-  CHECK(holds(ran.out, "route.649.policy: no policy is named \"quack\"; expected one of default, quick"));
-  CHECK(holds(ran.out, "wroth: unknown field; expected name, worth"));
-  CHECK(holds(ran.out, "class.look-up.aim: \"1\" has no unit"));
-  const auto unused = folder.write("unused", read_file(HEATHTURN_SITE_FILE) + "policy { name: \"spare\" }\n");
+  const auto broken = directory.write("broken", text);
+  const auto result = run({"config", "check", broken});
+  CHECK(result.status == 1);
+  CHECK(std::count(result.out.begin(), result.out.end(), '\n') == 5);
+  CHECK(contains(result.out, "deadline: 1500 has no unit; expected a duration such as"));
+  CHECK(contains(result.out, "pool.north.member.north.address: \"nowhere\" is not an address"));
+  CHECK(
+      contains(result.out, "route.649.policy: no policy is named \"quack\"; expected one of default, quick"));
+  CHECK(contains(result.out, "wroth: unknown field; expected name, worth"));
+  CHECK(contains(result.out, "class.look-up.aim: \"1\" has no unit"));
+  const auto unused =
+      directory.write("unused", read_file(HEATHTURN_SITE_FILE) + "policy { name: \"spare\" }\n");
   const auto warned = run({"config", "check", unused});
   CHECK(warned.status == 0);
-  CHECK(holds(warned.out, "warning: policy.spare: no route uses this policy"));
+  CHECK(contains(warned.out, "warning: policy.spare: no route uses this policy"));
   CHECK(run({"config", "check", "--strict", unused}).status == 1);
 }
 
-TEST_CASE("the old JSON form is named as such, and converted to the same meaning") {
+TEST_CASE("the JSON form of earlier versions is recognized, and converted without a change of meaning") {
   const std::string old = std::string(HEATHTURN_TEST_FILES) + "/old_form.json";
   Process program({"serve", "--enum", old});
-  CHECK(holds(program.read_remaining_output(), "`heathturn config convert " + old + "` writes the new one"));
+  CHECK(
+      contains(program.read_remaining_output(), "`heathturn config convert " + old + "` writes the new one"));
   CHECK(program.wait_for_exit() == 1);
-  const Folder folder;
-  const auto converted = (folder.path / "site.textproto").string();
+  const TempDirectory directory;
+  const auto converted = (directory.path / "site.textproto").string();
   CHECK(run({"config", "convert", old, "--out", converted}).status == 0);
   const auto difference = diff_sites(load_site(converted), load_site(HEATHTURN_SITE_FILE));
   CHECK(difference.moved_prefix_count == 0);
@@ -240,7 +248,7 @@
     "eureka":{"registry":"127.0.0.1:2","application":"ns","fetch_every_ms":250,"register_as":"h"},
     "settings":{"balancers":1,"classes":[{"name":"a","importance":1,"objective_us":1000000,"give_up_us":2000000}],
     "specifics":{"network_form":"groups"},"limits":{"try_limit":9}}})");
-  const auto config = load_site(folder.write("r", with_registry));
+  const auto config = load_site(directory.write("r", with_registry));
   CHECK(config.pools.at(0).from_registry->number == 3);
   CHECK(config.registries.at(0).fetch_every_ms == 250);
   CHECK(config.registries.at(0).own_application == "h");
@@ -248,9 +256,9 @@
   CHECK(run({"config", "convert", converted}).status == 1);
 }
 
-// ---- Layout ---------------------------------------------------------------------------------------------
+// ---- Formatting ------------------------------------------------------------------------------------------
 
-/// A random file of the language, with comments and odd layout all over.
+/// A random valid file, with comments and irregular layout throughout.
 std::string random_site(std::mt19937& random) {
   const auto pick = [&random](std::initializer_list<const char*> from) {
     return std::string(*(from.begin() + static_cast<long>(random() % from.size())));
@@ -305,9 +313,7 @@
   return out;
 }
 
-TEST_CASE(
-    "layout: stable, every comment kept, the same meaning; a file differs in nothing from its formatted "
-    "self") {
+TEST_CASE("formatting is stable, keeps every comment and does not change the meaning of a file") {
   PROPERTY("generated files", [](unsigned seed) {
     std::mt19937 random(seed);
     const auto text = random_site(random);
@@ -325,9 +331,9 @@
   CHECK(format_source("x", example, diagnostics) == example);
 }
 
-TEST_CASE("fmt writes in one step, keeps the mode, and says by its status what it found") {
-  const Folder folder;
-  const auto path = folder.write("site", "listen:'127.0.0.1:1'  # here\n\n\n\nclass{name:'a'}");
+TEST_CASE("fmt replaces the file atomically, keeps its mode, and reports the result in its exit status") {
+  const TempDirectory directory;
+  const auto path = directory.write("site", "listen:'127.0.0.1:1'  # here\n\n\n\nclass{name:'a'}");
   ::chmod(path.c_str(), 0640);
   CHECK(run({"config", "fmt", "--check", path}).status == 1);
   CHECK(run({"config", "fmt", path}).out == "listen: '127.0.0.1:1'  # here\n\nclass { name: 'a' }\n");
@@ -335,8 +341,8 @@
   CHECK(read_file(path) == "listen: '127.0.0.1:1'  # here\n\nclass { name: 'a' }\n");
   CHECK((fs::status(path).permissions() & fs::perms::mask) == fs::perms(0640));
   CHECK(run({"config", "fmt", "--check", path}).status == 0);
-  CHECK(std::distance(fs::directory_iterator(folder.path), {}) == 1);
-  const auto broken = folder.write("broken", "listen {");
+  CHECK(std::distance(fs::directory_iterator(directory.path), {}) == 1);
+  const auto broken = directory.write("broken", "listen {");
   CHECK(run({"config", "fmt", "--write", broken}).status == 2);
   CHECK(read_file(broken) == "listen {");
 }
@@ -353,8 +359,8 @@
 
 std::vector<std::string> changes(const std::string& before, const std::string& after,
                                  std::string* summary = nullptr) {
-  const TempFile old(before), fresh(after);
-  const auto difference = diff_sites(load_site(old.path()), load_site(fresh.path()));
+  const TempFile old(before), current(after);
+  const auto difference = diff_sites(load_site(old.path()), load_site(current.path()));
   if (summary != nullptr) *summary = difference.summary();
   std::vector<std::string> out;
   for (const auto& each : difference.changes) out.push_back(each.text);
@@ -368,7 +374,7 @@
   return "to { pool: \"north\" share: \"" + north + "\" } to { pool: \"south\" share: \"" + south + "\" }";
 }
 
-TEST_CASE("a difference is told in what it means for numbers, pools and policies") {
+TEST_CASE("a difference is described by its effect on numbers, pools and policies") {
   using Lines = std::vector<std::string>;
   const auto base = route("prefix: \"649\"", shares("90%", "10%")) + route("", "to { pool: \"north\" }");
   std::string summary;
@@ -377,19 +383,19 @@
               site_text(route("prefix: \"649\"", shares("70%", "30%")) + route("", "to { pool: \"north\" }")),
               &summary) == Lines{"numbers 649: 70% to pool north, was 90%; 30% to pool south, was 10%"});
   CHECK(summary == "about 1 of 2 ranges of numbers change their first pool");
-  // Order of things, shares written otherwise, a route that changes nothing: no difference.
+  // Another order, another notation of shares and a route without an effect are no differences.
   CHECK(changes(site_text(base), site_text(route("", "to { pool: \"north\" }") +
                                            route("prefix: \"649\"", shares("0.9", "0.1")) +
                                            route("prefix: \"64\"", "to { pool: \"north\" }")))
             .empty());
-  // A route that goes leaves its numbers to the shorter prefix.
+  // The numbers of a removed route go to the route with the shorter prefix.
   CHECK(changes(site_text(base), site_text(route("", "to { pool: \"north\" }"))) ==
         Lines{"numbers 649: 100% to pool north, was 90%; no longer to pool south, was 10%"});
   CHECK(changes(site_text(route("prefix: \"649\"", "to { pool: \"north\" }")),
                 site_text(route("prefix: \"648\"", "to { pool: \"north\" }"))) ==
         Lines{"numbers 648: new: 100% to pool north; policy default",
               "numbers 649: no route any more, was 100% to pool north; policy default"});
-  // By time of the week alone.
+  // A change that applies only at some times of the week.
   CHECK(changes(site_text(base),
                 site_text(route("prefix: \"649\" when: \"Sat-Sun\"", "to { pool: \"south\" }") + base)) ==
         Lines{"numbers 649, Sat, Sun: 100% to pool south, was 10%; no longer to pool north, was 90%"});
@@ -411,33 +417,33 @@
 }
 
 TEST_CASE(
-    "diff and show on the command line: sentences, JSON, exit statuses, and why a number goes where it "
-    "goes") {
-  const Folder folder;
+    "diff and show on the command line: sentences, JSON, exit statuses, and the explanation of a number's "
+    "route") {
+  const TempDirectory directory;
   const auto example = std::string(HEATHTURN_SITE_FILE);
   auto text = read_file(example);
   CHECK(run({"config", "diff", example, example}).status == 0);
   text.replace(text.find("127.0.0.1:5301"), 14, "127.0.0.1:5309");
-  const auto moved = folder.write("moved", text);
-  const auto ran = run({"config", "diff", example, moved});
-  CHECK(ran.status == 1);
-  CHECK(ran.out == "pool north: member north address 127.0.0.1:5309, was 127.0.0.1:5301\n");
+  const auto moved = directory.write("moved", text);
+  const auto result = run({"config", "diff", example, moved});
+  CHECK(result.status == 1);
+  CHECK(result.out == "pool north: member north address 127.0.0.1:5309, was 127.0.0.1:5301\n");
   const auto json = run({"config", "diff", "--json", example, moved});
-  CHECK(holds(json.out, R"("kind":"pool","subject":"pool north")"));
-  CHECK(run({"config", "diff", example, folder.write("bad", "x")}).status == 2);
+  CHECK(contains(json.out, R"("kind":"pool","subject":"pool north")"));
+  CHECK(run({"config", "diff", example, directory.write("bad", "x")}).status == 2);
   const auto shown = run({"config", "show", example});
   CHECK(shown.status == 0);
-  CHECK(holds(shown.out, "policy.quick.deadline = 1.5s"));
-  CHECK(holds(shown.out, "# policy default, " + example + ":"));
-  CHECK(holds(shown.out, "# default\n"));
+  CHECK(contains(shown.out, "policy.quick.deadline = 1.5s"));
+  CHECK(contains(shown.out, "# policy default, " + example + ":"));
+  CHECK(contains(shown.out, "# default\n"));
   const auto why = run({"config", "show", example, "--number", "6494321", "--class", "abroad"});
-  CHECK(holds(why.out, "class abroad (as asked)"));
-  CHECK(holds(why.out, "route for numbers 649 at "));
-  CHECK(holds(why.out, "policy quick"));
-  CHECK(holds(run({"config", "show", example, "--number", "12"}).out, "route for all numbers"));
+  CHECK(contains(why.out, "class abroad (as asked)"));
+  CHECK(contains(why.out, "route for numbers 649 at "));
+  CHECK(contains(why.out, "policy quick"));
+  CHECK(contains(run({"config", "show", example, "--number", "12"}).out, "route for all numbers"));
   CHECK(run({"config", "show", example, "--number", "12", "--class", "none"}).status == 1);
   for (const char* each : {"check", "fmt", "diff", "show", "convert"}) {
-    CHECK(holds(run({"config", each, "--help"}).out, "Exit status: "));
+    CHECK(contains(run({"config", each, "--help"}).out, "Exit status: "));
   }
 }
 
