--- a/src/config/site_reader.cpp
+++ b/src/config/site_reader.cpp
@@ -114,8 +114,8 @@
   });
 }
 
-/// Reads the sources of one site. Faults are collected, so that one run finds as many as possible: a value
-/// that is at fault is replaced by its default.
+/// Reads the sources of one site. Errors are collected, so that one run finds as many as possible: an invalid
+/// value is replaced by its default.
 class SiteReader {
  public:
   SiteReader(const std::string& path, Diagnostics& diagnostics,
@@ -156,12 +156,12 @@
   }
 
  private:
-  // ---- Faults and resolved settings ----------------------------------------------------------------------
+  // ---- Diagnostics and resolved settings ----------------------------------------------------------------
 
-  void add_fault(const SourceLocation& location, const std::string& key, const std::string& text,
-                 const std::string& expected = "", bool warning = false) {
+  void add_diagnostic(const SourceLocation& location, const std::string& key, const std::string& text,
+                      const std::string& expected = "", bool is_warning = false) {
     diagnostics_.add({config_.files[location.file], static_cast<int>(location.line),
-                      static_cast<int>(location.column), key, text, expected, warning});
+                      static_cast<int>(location.column), key, text, expected, is_warning});
   }
   [[nodiscard]] std::string full_location_text(const SourceLocation& location) const {
     return location_text(config_, location) + ":" + std::to_string(location.column);
@@ -180,7 +180,7 @@
 
   using Parser = units::Parsed<double> (*)(const std::string&);
   using Formatter = std::string (*)(double);
-  /// Reads a text with a unit. Values outside [min, max] are faults; `fallback` is also the default.
+  /// Reads a text with a unit. Values outside [min, max] are errors; `fallback` is also the default.
   double read_quantity(const Node& node, const char* field, Parser parse, Formatter format,
                        const char* expected, double min, double max, double fallback) {
     if (!node.has(field)) {
@@ -190,12 +190,12 @@
     const auto text = node.text(field);
     const auto parsed = parse(text);
     if (!parsed.value) {
-      add_fault(node.location_of(field), node.path(field), "\"" + text + "\" " + parsed.error, expected);
+      add_diagnostic(node.location_of(field), node.path(field), "\"" + text + "\" " + parsed.error, expected);
       return fallback;
     }
     if (*parsed.value < min || *parsed.value > max) {
-      add_fault(node.location_of(field), node.path(field), "\"" + text + "\" is out of range",
-                format(min) + " to " + format(max));
+      add_diagnostic(node.location_of(field), node.path(field), "\"" + text + "\" is out of range",
+                     format(min) + " to " + format(max));
       return fallback;
     }
     record(node, field, format(*parsed.value));
@@ -219,8 +219,8 @@
     }
     const auto value = node.message->GetReflection()->GetUInt32(*node.message, node.field(field));
     if (value < min || value > max) {
-      add_fault(node.location_of(field), node.path(field), std::to_string(value) + " is out of range",
-                std::to_string(min) + " to " + std::to_string(max));
+      add_diagnostic(node.location_of(field), node.path(field), std::to_string(value) + " is out of range",
+                     std::to_string(min) + " to " + std::to_string(max));
       return fallback;
     }
     record(node, field, std::to_string(value));
@@ -233,8 +233,8 @@
     }
     const double value = node.message->GetReflection()->GetDouble(*node.message, node.field(field));
     if (!(value >= 0 && value <= max)) {
-      add_fault(node.location_of(field), node.path(field), units::number_text(value) + " is out of range",
-                "0 to " + units::number_text(max));
+      add_diagnostic(node.location_of(field), node.path(field),
+                     units::number_text(value) + " is out of range", "0 to " + units::number_text(max));
       return fallback;
     }
     record(node, field, units::number_text(value));
@@ -245,11 +245,11 @@
     record(node, field, value);
     return value;
   }
-  /// Returns an empty text and adds a fault when the field is missing or empty.
+  /// Returns an empty text and adds an error when the field is missing or empty.
   std::string required_text(const Node& node, const char* field, const char* expected) {
     if (!node.has(field) || node.text(field).empty()) {
-      add_fault(node.has(field) ? node.location_of(field) : node.location, node.path(field),
-                node.has(field) ? "it is empty" : "it is missing", expected);
+      add_diagnostic(node.has(field) ? node.location_of(field) : node.location, node.path(field),
+                     node.has(field) ? "it is empty" : "it is missing", expected);
       return "";
     }
     return node.text(field);
@@ -260,8 +260,8 @@
     if (given.empty()) return std::nullopt;
     const auto parsed = Address::parse(given);
     if (!parsed) {
-      add_fault(node.location_of(field), node.path(field), "\"" + given + "\" is not an address with a port",
-                form);
+      add_diagnostic(node.location_of(field), node.path(field),
+                     "\"" + given + "\" is not an address with a port", form);
     }
     record(node, field, given);
     return parsed;
@@ -275,39 +275,39 @@
              std::string("._:-").find(c) != std::string::npos;
     };
     if (given.size() > max_name_length || !std::all_of(given.begin(), given.end(), is_allowed)) {
-      add_fault(node.location_of("name"), node.path("name"), "\"" + given + "\" is not a valid name",
-                name_format);
+      add_diagnostic(node.location_of("name"), node.path("name"), "\"" + given + "\" is not a valid name",
+                     name_format);
       return false;
     }
     if (const auto* first = names.add(given, index, node.location)) {
-      add_fault(node.location_of("name"), node.path("name"),
-                "\"" + given + "\" is already defined at " + full_location_text(first->location),
-                "a unique name");
+      add_diagnostic(node.location_of("name"), node.path("name"),
+                     "\"" + given + "\" is already defined at " + full_location_text(first->location),
+                     "a unique name");
       return false;
     }
     node.key += "." + given;
     out = given;
     return true;
   }
-  /// Returns the index of the name in a field, or no_index and a fault when nothing has this name.
+  /// Returns the index of the name in a field, or no_index and an error when nothing has this name.
   std::uint32_t resolve_reference(const Node& node, const char* field, const char* kind,
                                   const NameTable& names) {
     const auto given = node.text(field);
     const auto* found = names.find(given);
     if (found == nullptr) {
       const auto list = names.joined();
-      add_fault(node.location_of(field), node.path(field),
-                std::string("no ") + kind + " is named \"" + given + "\"",
-                list.empty() ? std::string("a ") + kind + " that is defined" : "one of " + list);
+      add_diagnostic(node.location_of(field), node.path(field),
+                     std::string("no ") + kind + " is named \"" + given + "\"",
+                     list.empty() ? std::string("a ") + kind + " that is defined" : "one of " + list);
       return no_index;
     }
     return found->index;
   }
-  /// Adds a fault unless the prefix consists of digits and is short enough.
+  /// Adds an error unless the prefix consists of digits and is short enough.
   bool check_prefix(const SourceLocation& location, const std::string& key, const std::string& prefix) {
     if (prefix.size() <= max_prefix_digits && prefix.find_first_not_of("0123456789") == std::string::npos)
       return true;
-    add_fault(location, key, "\"" + prefix + "\" is not a number prefix", "at most 32 digits");
+    add_diagnostic(location, key, "\"" + prefix + "\" is not a number prefix", "at most 32 digits");
     return false;
   }
 
@@ -319,15 +319,15 @@
       for (int i = 0; i < size; ++i) visit(root.child(field, i));
     }
   }
-  /// The file that sets a top-level field, or nullptr. A second file that sets it is a fault.
+  /// The file that sets a top-level field, or nullptr. A second file that sets it is an error.
   const Node* find_single(const char* field) {
     const Node* found = nullptr;
     for (const auto& root : roots_) {
       if (!root.has(field)) continue;
       if (found != nullptr) {
-        add_fault(root.location_of(field), field,
-                  "it is already set at " + full_location_text(found->location_of(field)),
-                  "only one file to set it");
+        add_diagnostic(root.location_of(field), field,
+                       "it is already set at " + full_location_text(found->location_of(field)),
+                       "only one file to set it");
         continue;
       }
       found = &root;
@@ -360,8 +360,8 @@
     if (!given.empty()) {
       const auto suffix = dns::name_from_text(given);
       if (!suffix || suffix->size() == 1) {
-        add_fault(at.location_of("suffix"), "suffix", "\"" + given + "\" is not a domain name",
-                  "one such as \"enum.example.org\"");
+        add_diagnostic(at.location_of("suffix"), "suffix", "\"" + given + "\" is not a domain name",
+                       "one such as \"enum.example.org\"");
       } else {
         config_.suffix = dns::name_to_text(*suffix);
       }
@@ -375,8 +375,8 @@
     if (parsed.value) {
       config_.time_zone = *parsed.value;
     } else {
-      add_fault(from->location_of("time_zone"), "time_zone", "\"" + zone + "\" " + parsed.error,
-                units::time_zone_format);
+      add_diagnostic(from->location_of("time_zone"), "time_zone", "\"" + zone + "\" " + parsed.error,
+                     units::time_zone_format);
     }
   }
 
@@ -389,9 +389,10 @@
     const double aim = read_duration(node, "aim", 1, 60 * second_ms, second_ms);
     const double give_up = read_duration(node, "give_up", min_deadline_ms, max_deadline_ms, 2 * second_ms);
     if (aim > give_up) {
-      add_fault(node.location_of(node.has("give_up") ? "give_up" : "aim"), node.path("give_up"),
-                units::duration_text(give_up) + " is shorter than the aim of " + units::duration_text(aim),
-                "the aim or longer");
+      add_diagnostic(
+          node.location_of(node.has("give_up") ? "give_up" : "aim"), node.path("give_up"),
+          units::duration_text(give_up) + " is shorter than the aim of " + units::duration_text(aim),
+          "the aim or longer");
     }
     out.set_up_objective = to_duration(aim);
     out.give_up_after = to_duration(give_up);
@@ -401,9 +402,9 @@
       const auto location = node.location_of("prefix", i);
       if (!check_prefix(location, node.path("prefix"), prefix)) continue;
       if (const auto* first = class_prefixes_.add(prefix, index, location)) {
-        add_fault(location, node.path("prefix"),
-                  "\"" + prefix + "\" is already listed at " + full_location_text(first->location),
-                  "each prefix in one class only");
+        add_diagnostic(location, node.path("prefix"),
+                       "\"" + prefix + "\" is already listed at " + full_location_text(first->location),
+                       "each prefix in one class only");
         continue;
       }
       config_.class_prefixes.push_back({prefix, index});
@@ -419,17 +420,19 @@
     if (!read_name(node, tenants_, index, out.name)) return;
     const auto& message = static_cast<const config::v1::Tenant&>(*node.message);
     constexpr const char* form = "an IPv4 network such as \"192.0.2.0/24\"";
-    if (message.network_size() == 0) add_fault(node.location, node.path("network"), "it is missing", form);
+    if (message.network_size() == 0)
+      add_diagnostic(node.location, node.path("network"), "it is missing", form);
     for (int i = 0; i < message.network_size(); ++i) {
       const auto location = node.location_of("network", i);
       const auto network = parse_network(message.network(i));
       if (!network) {
-        add_fault(location, node.path("network"), "\"" + message.network(i) + "\" is not a network", form);
+        add_diagnostic(location, node.path("network"), "\"" + message.network(i) + "\" is not a network",
+                       form);
         continue;
       }
       const auto key = std::to_string(network->host) + "/" + std::to_string(network->prefix_length);
       if (const auto* first = networks_.add(key, index, location)) {
-        add_fault(
+        add_diagnostic(
             location, node.path("network"),
             "\"" + message.network(i) + "\" is already listed at " + full_location_text(first->location),
             "each network with one tenant only");
@@ -521,9 +524,11 @@
       out.from_registry = std::move(source);
     }
     if (message.member_size() == 0 && !message.has_from_registry()) {
-      add_fault(node.location, node.path("member"), "the pool has no members", "a member, or from_registry");
+      add_diagnostic(node.location, node.path("member"), "the pool has no members",
+                     "a member, or from_registry");
     } else if (weights <= 0 && !diagnostics_.has_errors()) {
-      add_fault(node.location, node.path("member"), "all weights are 0", "a member with a weight above 0");
+      add_diagnostic(node.location, node.path("member"), "all weights are 0",
+                     "a member with a weight above 0");
     }
     config_.pools.push_back(std::move(out));
   }
@@ -543,42 +548,43 @@
     for (int i = 0; i < message.pin_size(); ++i) {
       const auto pin = tls::parse_pin(message.pin(i));
       if (pin.empty()) {
-        add_fault(node.location_of("pin", i), node.path("pin"),
-                  "\"" + message.pin(i) + "\" is not a valid pin", "\"sha256/\" and 32 bytes in base 64");
+        add_diagnostic(node.location_of("pin", i), node.path("pin"),
+                       "\"" + message.pin(i) + "\" is not a valid pin",
+                       "\"sha256/\" and 32 bytes in base 64");
       }
       out.pins.push_back(pin);
     }
     out.certificate = resolve_path(node, read_text(node, "certificate", ""));
     out.key = resolve_path(node, read_text(node, "key", ""));
     if (out.certificate.empty() != out.key.empty()) {
-      add_fault(node.location, node.path(out.key.empty() ? "key" : "certificate"), "it is missing",
-                "a certificate together with its key");
+      add_diagnostic(node.location, node.path(out.key.empty() ? "key" : "certificate"), "it is missing",
+                     "a certificate together with its key");
     }
     out.crl = resolve_path(node, read_text(node, "crl", ""));
     for (int i = 0; i < message.alpn_size(); ++i) {
       if (message.alpn(i).empty() || message.alpn(i).size() > 255) {
-        add_fault(node.location_of("alpn", i), node.path("alpn"), "it is not a protocol name",
-                  "1 to 255 bytes");
+        add_diagnostic(node.location_of("alpn", i), node.path("alpn"), "it is not a protocol name",
+                       "1 to 255 bytes");
       }
       out.alpn.push_back(message.alpn(i));
     }
-    // Whether a field is set to `other`, the alternative of its default; other values are faults.
+    // Whether a field is set to `other`, the alternative of its default; other values are errors.
     const auto is_alternative = [&](const char* field, const char* default_value, const char* other) {
       const auto given = read_text(node, field, default_value);
       if (given != default_value && given != other) {
-        add_fault(node.location_of(field), node.path(field), "\"" + given + "\" is not a known value",
-                  std::string("\"") + default_value + "\" or \"" + other + "\"");
+        add_diagnostic(node.location_of(field), node.path(field), "\"" + given + "\" is not a known value",
+                       std::string("\"") + default_value + "\" or \"" + other + "\"");
       }
       return given == other;
     };
     out.tls13_only = is_alternative("lowest", "1.2", "1.3");
     out.verify = !is_alternative("verification", "full", "none");
     if (!out.verify) {
-      add_fault(node.location_of("verification"), node.path("verification"),
-                "certificates are not verified: anyone can impersonate the server", "", true);
+      add_diagnostic(node.location_of("verification"), node.path("verification"),
+                     "certificates are not verified: anyone can impersonate the server", "", true);
     } else if (out.trust.empty()) {
-      add_fault(node.location, node.path("trust"), "it is missing",
-                "a file with the trusted certificate authorities");
+      add_diagnostic(node.location, node.path("trust"), "it is missing",
+                     "a file with the trusted certificate authorities");
     }
     out.handshake_ms = read_duration(node, "handshake", 50, 30 * second_ms, 2 * second_ms);
     if (node.has("most_age"))
@@ -688,9 +694,9 @@
         cycle += drafts_[*at].policy.name + " -> ";
       }
       const auto& last = drafts_[chain.back()].node;
-      add_fault(last.location_of("base"), last.path("base"),
-                "the base policies form a cycle: " + cycle + draft.policy.name,
-                "a base that does not lead back to it");
+      add_diagnostic(last.location_of("base"), last.path("base"),
+                     "the base policies form a cycle: " + cycle + draft.policy.name,
+                     "a base that does not lead back to it");
       return;
     }
     draft.state = PolicyDraft::resolving;
@@ -744,14 +750,14 @@
     }
     if (policy.max_attempts > config_.settings.attempt_limit && policy.location.line > 0 &&
         node.has("attempts")) {
-      add_fault(node.location_of("attempts"), node.path("attempts"),
-                std::to_string(policy.max_attempts) + " is above decisions.attempts, which is " +
-                    std::to_string(config_.settings.attempt_limit),
-                "at most that many");
+      add_diagnostic(node.location_of("attempts"), node.path("attempts"),
+                     std::to_string(policy.max_attempts) + " is above decisions.attempts, which is " +
+                         std::to_string(config_.settings.attempt_limit),
+                     "at most that many");
     }
     if (node.has("burst") && policy.rate_per_second == 0) {
-      add_fault(node.location_of("burst"), node.path("burst"), "it has no effect without a rate",
-                "a rate in this policy or its base");
+      add_diagnostic(node.location_of("burst"), node.path("burst"), "it has no effect without a rate",
+                     "a rate in this policy or its base");
     }
     double deadline = policy.deadline_ms;
     for (const auto& each : config_.settings.classes) {
@@ -762,10 +768,11 @@
     const double waits = policy.retry_wait_ms * (policy.max_attempts - 1);
     if (policy.location.line > 0 && deadline > 0 && policy.max_attempts > 1 &&
         waits + answer_margin_ms >= deadline) {
-      add_fault(node.location_of(blamed_field), node.path("deadline"),
-                units::duration_text(deadline) + " is too short for " + std::to_string(policy.max_attempts) +
-                    " attempts with waits of " + units::duration_text(policy.retry_wait_ms),
-                "a longer deadline, fewer attempts or a shorter wait");
+      add_diagnostic(node.location_of(blamed_field), node.path("deadline"),
+                     units::duration_text(deadline) + " is too short for " +
+                         std::to_string(policy.max_attempts) + " attempts with waits of " +
+                         units::duration_text(policy.retry_wait_ms),
+                     "a longer deadline, fewer attempts or a shorter wait");
     }
   }
 
@@ -829,8 +836,8 @@
     const auto given = node.text("when");
     const auto parsed = units::parse_week_spans(given);
     if (!parsed.value) {
-      add_fault(node.location_of("when"), node.path("when"), "\"" + given + "\" " + parsed.error,
-                units::times_format);
+      add_diagnostic(node.location_of("when"), node.path("when"), "\"" + given + "\" " + parsed.error,
+                     units::times_format);
       return no_index;
     }
     const auto key = units::week_text(*parsed.value);
@@ -847,7 +854,7 @@
     double sum = 0;
     bool has_shares = false, valid = message.to_size() > 0;
     if (message.to_size() == 0)
-      add_fault(node.location, node.path("to"), "it is missing", "at least one pool");
+      add_diagnostic(node.location, node.path("to"), "it is missing", "at least one pool");
     for (int i = 0; i < message.to_size(); ++i) {
       const auto& given = message.to(i);
       Target target;
@@ -875,8 +882,8 @@
           std::any_of(list.begin(), list.end(), [&](const auto& each) { return each.pool == target.pool; });
       if (duplicate) {
         const auto child = node.child("to", i);
-        add_fault(child.location, child.path("pool"), "pool \"" + given.pool() + "\" is listed twice",
-                  "each pool once in a route");
+        add_diagnostic(child.location, child.path("pool"), "pool \"" + given.pool() + "\" is listed twice",
+                       "each pool once in a route");
         valid = false;
         continue;
       }
@@ -885,8 +892,8 @@
     }
     if (!has_shares && !list.empty()) list.front().share = 1;
     if (has_shares && valid && std::abs(sum - 1) > share_sum_tolerance) {
-      add_fault(node.location_of("to", 0), node.path("to"), "the shares add up to " + units::share_text(sum),
-                "100%");
+      add_diagnostic(node.location_of("to", 0), node.path("to"),
+                     "the shares add up to " + units::share_text(sum), "100%");
     }
     std::string key;
     for (const auto& each : list) key += std::to_string(each.pool) + ":" + std::to_string(each.share) + ";";
@@ -902,7 +909,8 @@
     if (!config_.has_enum_frontend) return;
     const auto& main = roots_.back();
     const auto missing = [&](bool empty, const char* key, const char* expected) {
-      if (empty && !diagnostics_.has_errors()) add_fault(main.location, key, "none is defined", expected);
+      if (empty && !diagnostics_.has_errors())
+        add_diagnostic(main.location, key, "none is defined", expected);
     };
     missing(config_.settings.classes.empty(), "class", "at least one class");
     missing(config_.pools.empty(), "pool", "at least one pool");
@@ -924,7 +932,7 @@
     });
   }
 
-  /// Adds a fault for each route whose look-ups are all taken by earlier routes of the same prefix.
+  /// Adds an error for each route whose look-ups are all taken by earlier routes of the same prefix.
   void find_unreachable_routes() {
     if (diagnostics_.has_errors()) return;  // after an error, indexes may be invalid
     struct EarlierRoutes {
@@ -950,10 +958,10 @@
       }
       const auto key = "route." + (route.prefix.empty() ? "all" : route.prefix);
       if (covering_route && is_covered(own_spans, units::merge_overlapping(covered))) {
-        add_fault(route.location, key,
-                  "no look-up reaches this route: earlier routes such as the one at " +
-                      full_location_text(*covering_route) + " match them all",
-                  "a route with another prefix, class, tenant or time");
+        add_diagnostic(route.location, key,
+                       "no look-up reaches this route: earlier routes such as the one at " +
+                           full_location_text(*covering_route) + " match them all",
+                       "a route with another prefix, class, tenant or time");
       }
       check_route_class(route, key);
       auto& own_entry = same_prefix[{route.traffic_class, route.tenant}];
@@ -962,7 +970,7 @@
       own_entry.location = route.location;
     }
   }
-  /// Adds a fault when no look-up that matches the route's prefix and tenant can have its class.
+  /// Adds an error when no look-up that matches the route's prefix and tenant can have its class.
   void check_route_class(const Route& route, const std::string& key) {
     if (route.traffic_class == no_index) return;
     const auto& name = config_.settings.classes[route.traffic_class].name;
@@ -976,15 +984,15 @@
       }
     }
     if (reachable) return;
-    add_fault(route.location, key + ".class",
-              "no look-up of " + numbers_text(route.prefix) + " has class " + name,
-              "a class of these numbers or of the tenant");
+    add_diagnostic(route.location, key + ".class",
+                   "no look-up of " + numbers_text(route.prefix) + " has class " + name,
+                   "a class of these numbers or of the tenant");
   }
 
   void warn_about_unused() {
     if (diagnostics_.has_errors()) return;
     const auto warn = [this](const SourceLocation& location, const std::string& key, const char* what) {
-      add_fault(location, key, what, "", true);
+      add_diagnostic(location, key, what, "", true);
     };
     for (std::uint32_t i = 0; i < config_.pools.size(); ++i) {
       const auto& each = config_.pools[i];
@@ -1020,7 +1028,7 @@
     try {
       (void)CallController(config_.settings, 0);
     } catch (const std::exception& error) {
-      add_fault(roots_.back().location, "decisions", error.what());
+      add_diagnostic(roots_.back().location, "decisions", error.what());
     }
   }
 
--- a/src/config/site_reader.hpp
+++ b/src/config/site_reader.hpp
@@ -17,13 +17,13 @@
   std::string origin;  ///< "FILE:LINE", "default", or the policy that it is inherited from
 };
 
-/// Reads the file and everything it includes. Faults and warnings are added to `diagnostics`; after an error
+/// Reads the file and everything it includes. Errors and warnings are added to `diagnostics`; after an error
 /// the result must not be put into service. Each resolved setting is appended to `resolved_settings`, if
 /// given, in order.
 [[nodiscard]] EnumConfig read_site(const std::string& path, Diagnostics& diagnostics,
                                    std::vector<ResolvedSetting>* resolved_settings = nullptr);
 
-/// Reads the file for use in service. Throws ConfigError with every fault.
+/// Reads the file for use in service. Throws ConfigError with all errors.
 [[nodiscard]] EnumConfig load_site(const std::string& path);
 
 /// "FILE:LINE"; "default" for a built-in value.
