--- a/src/config/units.cpp
+++ b/src/config/units.cpp
@@ -147,8 +147,7 @@
 Parsed<double> parse_share(const std::string& text) {
   if (!text.empty() && text.front() == '-') return invalid<double>("is negative");
   const auto parts = leading_number(text);
-  if (!parts || (!parts->second.empty() && parts->second != "%"))
-    return invalid<double>("is not a share");
+  if (!parts || (!parts->second.empty() && parts->second != "%")) return invalid<double>("is not a share");
   const bool percent = !parts->second.empty();
   // "35" is ambiguous: 35% or 35 times the whole.
   if (!percent && parts->first > 1) return invalid<double>("is above 1 and has no %");
