--- a/drill/codec.cpp
+++ b/drill/codec.cpp
@@ -298,7 +298,7 @@
         event = Stop{};
         break;
       default:
-        in.fail("unknown event code " + std::to_string(code));
+        in.fail("unknown event code " + std::to_string(code) + " in a record");
     }
     events.push_back({*instance, std::move(event), in.frame_offset()});
   }
