--- a/bench/routes_bench.cpp
+++ b/bench/routes_bench.cpp
@@ -27,7 +27,7 @@
   std::map<std::string, std::uint32_t> distinct;
   while (distinct.size() < count) {
     std::string prefix(std::min<std::size_t>(7, 1 + random() % 10), '0');
-    for (auto& each : prefix) each = static_cast<char>('0' + random() % 10);
+    for (auto& digit : prefix) digit = static_cast<char>('0' + random() % 10);
     distinct.try_emplace(prefix, static_cast<std::uint32_t>(distinct.size()));
   }
   out.assign(distinct.begin(), distinct.end());
--- a/bench/tls_bench.cpp
+++ b/bench/tls_bench.cpp
@@ -122,7 +122,7 @@
     bool offered = false;
     ConnectedPair pair(context.open(*state, {0x7f000001, 853}, offered), server.get());
     pair.run_handshake();
-    // The server's half, and the pipe between them, go: what stays is the client's.
+    // Frees the server side and the pipe between the two, so that only the client side is measured.
     SSL_set_bio(pair.client.get(), nullptr, nullptr);
     open.push_back(pair.client);
   }
--- a/src/emulator/handshake_simulation.cpp
+++ b/src/emulator/handshake_simulation.cpp
@@ -50,8 +50,8 @@
   std::uint64_t last_sequence_ = 0;
 };
 
-/// A converter with one processor and one queue of work. With too long a backlog it crashes; after its
-/// restart it has a part of its capacity only.
+/// A converter with one processor and one queue of work. It crashes when the backlog is too long, and has
+/// only a part of its capacity after its restart.
 struct Converter {
   double started_ms = 0, idle_at_ms = 0, down_until_ms = 0;
   std::uint64_t process_generation = 1;  ///< incremented by each crash
--- a/src/emulator/handshake_simulation.hpp
+++ b/src/emulator/handshake_simulation.hpp
@@ -41,7 +41,8 @@
 /// What the simulation counted and measured.
 struct SimulationResult {
   std::uint64_t calls = 0, answered_in_time = 0;
-  /// Handshakes that the converter completed; abandoned: of these, the ones that the router had given up.
+  /// Handshakes that the converter completed. abandoned_handshakes: those that the router had given up
+  /// before.
   std::uint64_t full_handshakes = 0, resumed_handshakes = 0, abandoned_handshakes = 0;
   std::uint32_t crashes = 0;
   double all_connected_at_ms = -1;  ///< first time when every router had a connection; -1: never
--- a/src/emulator/plot.cpp
+++ b/src/emulator/plot.cpp
@@ -33,7 +33,7 @@
   return out.data();
 }
 
-/// The least of 1, 2 or 5 times a power of ten that is not below the value.
+/// The smallest of 1, 2 or 5 times a power of ten that is not below the value; 1 for values up to 0.
 double round_up_for_axis(double value) {
   if (value <= 0) return 1;
   const double unit = std::pow(10, std::floor(std::log10(value)));
--- a/src/program.cpp
+++ b/src/program.cpp
@@ -30,7 +30,7 @@
   if (!dropped_report_pending_ && log_.untold() > 0) report_dropped_lines();
 }
 
-/// Log lines were dropped because their reader was too slow: logs how many once it reads again.
+/// Logs how many lines were dropped for a slow reader of the log; retries until that reader reads again.
 void Program::report_dropped_lines() {
   dropped_report_pending_ = !log_.tell_dropped(clock_.now_ms());
   if (dropped_report_pending_)
@@ -72,7 +72,7 @@
 
 bool Program::has_background_work() const {
   return std::any_of(services_.begin(), services_.end(),
-                     [](const auto& each) { return each->has_background_work(); });
+                     [](const auto& service) { return service->has_background_work(); });
 }
 
 void Program::drain() {
@@ -95,8 +95,8 @@
 
 void Program::stop_when_done() {
   const bool all_answered =
-      net_.unsent() == 0 && std::all_of(services_.begin(), services_.end(), [](const auto& each) {
-        return each->router().pending_count() == 0 && !each->deregistering();
+      net_.unsent() == 0 && std::all_of(services_.begin(), services_.end(), [](const auto& service) {
+        return service->router().pending_count() == 0 && !service->deregistering();
       });
   // Closing a connection that has unread input resets it, and the peer may lose what was just written: the
   // last answers get a short time to be delivered.
--- a/tests/router/network_helpers.hpp
+++ b/tests/router/network_helpers.hpp
@@ -72,8 +72,8 @@
     REQUIRE(out.descriptor_ >= 0);
     return out;
   }
-  /// A UDP and a TCP socket on the same port. The system chooses a free UDP port, which may be in use for
-  /// TCP: tries again then.
+  /// A UDP and a TCP socket on the same port. The system chooses a free UDP port; if it is in use for
+  /// TCP, another one is tried.
   static std::pair<Socket, Socket> bound_pair() {
     for (int attempt = 0; attempt < 100; ++attempt) {
       auto datagrams = bound(SOCK_DGRAM);
