--- a/bench/tls_bench.cpp
+++ b/bench/tls_bench.cpp
@@ -83,13 +83,13 @@
     int completed = 0, resumed = 0;
     context.sessions().clear();
     for (int i = 0; i < rounds + 1; ++i) {
-      tls::Context::Connection state;
+      tls::Context::ConnectionState state;
       state.id = 1;
       if (!resume) context.sessions().clear();
       bool offered = false;
-      ConnectedPair pair(context.open(state, {0x7f000001, 853}, offered), server.get());
+      ConnectedPair pair(context.create_ssl(state, {0x7f000001, 853}, offered), server.get());
       pair.run_handshake();
-      if (tls::Context::accept(pair.client.get(), state) != nullptr) continue;
+      if (tls::Context::verify_peer(pair.client.get(), state) != nullptr) continue;
       SSL_set_shutdown(pair.client.get(), SSL_SENT_SHUTDOWN | SSL_RECEIVED_SHUTDOWN);
       if (i == 0) continue;  // the first handshake has no session to resume
       ++completed;
@@ -113,14 +113,14 @@
   const auto context_owner = client_context(trust);
   auto& context = *context_owner;
   const auto server = make_server_context(own);
-  std::vector<std::unique_ptr<tls::Context::Connection>> states;
+  std::vector<std::unique_ptr<tls::Context::ConnectionState>> states;
   std::vector<std::shared_ptr<SSL>> open;
   const auto before = mallinfo2().uordblks;
   for (std::size_t i = 0; i < count; ++i) {
-    auto& state = states.emplace_back(std::make_unique<tls::Context::Connection>());
+    auto& state = states.emplace_back(std::make_unique<tls::Context::ConnectionState>());
     state->id = 1;
     bool offered = false;
-    ConnectedPair pair(context.open(*state, {0x7f000001, 853}, offered), server.get());
+    ConnectedPair pair(context.create_ssl(*state, {0x7f000001, 853}, offered), server.get());
     pair.run_handshake();
     // Frees the server side and the pipe between the two, so that only the client side is measured.
     SSL_set_bio(pair.client.get(), nullptr, nullptr);
@@ -143,12 +143,12 @@
   std::size_t bytes_after_tenth = 0;
   int refused = 0;
   for (int i = 0; i < count; ++i) {
-    tls::Context::Connection state;
+    tls::Context::ConnectionState state;
     state.id = static_cast<std::uint32_t>(i);
     bool offered = false;
-    ConnectedPair pair(context.open(state, {0x7f000001, 853}, offered), server.get());
+    ConnectedPair pair(context.create_ssl(state, {0x7f000001, 853}, offered), server.get());
     pair.run_handshake();
-    refused += state.refused != nullptr ? 1 : 0;
+    refused += state.refusal_reason != nullptr ? 1 : 0;
     ERR_clear_error();
     if (i == count / 10) bytes_after_tenth = mallinfo2().uordblks;
   }
--- a/src/config/site_diff.cpp
+++ b/src/config/site_diff.cpp
@@ -236,9 +236,9 @@
     add("crl", tls.crl);
     for (const auto& each : tls.alpn) add("alpn", each);
     if (tls.tls13_only) add("lowest", "1.3");
-    add("handshake", units::duration_text(tls.handshake_ms));
-    if (tls.most_age_ms > 0) add("most_age", units::duration_text(tls.most_age_ms));
-    return out + ", connections " + std::to_string(tls.connections);
+    add("handshake", units::duration_text(tls.handshake_timeout_ms));
+    if (tls.max_connection_age_ms > 0) add("most_age", units::duration_text(tls.max_connection_age_ms));
+    return out + ", connections " + std::to_string(tls.connections_per_member);
   }
 
   void compare_pools() {
--- a/src/config/site_reader.cpp
+++ b/src/config/site_reader.cpp
@@ -586,10 +586,10 @@
       add_diagnostic(node.location, node.path("trust"), "it is missing",
                      "a file with the trusted certificate authorities");
     }
-    out.handshake_ms = read_duration(node, "handshake", 50, 30 * second_ms, 2 * second_ms);
+    out.handshake_timeout_ms = read_duration(node, "handshake", 50, 30 * second_ms, 2 * second_ms);
     if (node.has("most_age"))
-      out.most_age_ms = read_duration(node, "most_age", second_ms, 24 * 60 * minute_ms, 0);
-    out.connections = read_count(node, "connections", 1, 64, 2);
+      out.max_connection_age_ms = read_duration(node, "most_age", second_ms, 24 * 60 * minute_ms, 0);
+    out.connections_per_member = read_count(node, "connections", 1, 64, 2);
     return out;
   }
 
--- a/src/console/console.cpp
+++ b/src/console/console.cpp
@@ -15,11 +15,11 @@
 namespace heathturn {
 namespace {
 
-constexpr std::size_t most_consoles = 4;
-constexpr std::size_t most_command = 256;
-constexpr std::size_t most_calls = 200;  // rows shown
+constexpr std::size_t max_connections = 4;
+constexpr std::size_t max_command_bytes = 256;
+constexpr std::size_t max_call_rows = 200;
 
-constexpr const char* help =
+constexpr const char* help_text =
     "status      what is running, and what it has done\n"
     "converters  each converter or upstream, its state and its connections\n"
     "calls       requests in work and calls that stand\n"
@@ -49,16 +49,16 @@
 
 Console::Console(Program& program, std::string path, std::string version)
     : program_(program), path_(std::move(path)), version_(std::move(version)) {
-  program_.net().listen_local(path_, *this, "console", most_consoles);
+  program_.net().listen_local(path_, *this, "console", max_connections);
 }
 
 Console::~Console() { ::unlink(path_.c_str()); }
 
 void Console::on_input(Handle connection, evbuffer* in) {
   auto& net = program_.net();
-  net.each_line(connection, in, most_command, [&](const std::string& line) {
+  net.read_lines(connection, in, max_command_bytes, [&](const std::string& line) {
     if (line == "quit") return net.finish(connection);
-    // A line with a full stop alone ends each answer.
+    // Each answer ends with a line that holds only a full stop.
     net.write(connection, answer(line) + ".\n");
   });
 }
@@ -67,27 +67,27 @@
   if (command == "status") return status();
   if (command == "converters") return converters();
   if (command == "calls") return calls();
-  if (command == "help") return help;
+  if (command == "help") return help_text;
   if (command != "drain") return "unknown command; help lists them\n";
   program_.drain();
   return "draining\n";
 }
 
 std::string Console::status() {
-  const double up = (program_.clock().now_ms() - program_.started_ms()) / 1000;
-  auto out = row("heathturn %s, up %.0f s%s, %zu connections\n", version_.c_str(), up,
+  const double uptime_s = (program_.clock().now_ms() - program_.started_ms()) / 1000;
+  auto out = row("heathturn %s, up %.0f s%s, %zu connections\n", version_.c_str(), uptime_s,
                  program_.draining() ? ", draining" : "", program_.net().size());
   for (const auto& service : program_.services()) {
     auto& router = service->router();
-    const auto& n = router.counts();
-    out +=
-        row("%s: open %zu, standing %zu, offered %llu, served %llu, refused %llu, failed %llu, left %llu, "
-            "cut %llu, attempts %llu\n",
-            service->kind(), router.pending_count(), router.established_count(),
-            static_cast<unsigned long long>(n.offered), static_cast<unsigned long long>(n.served),
-            static_cast<unsigned long long>(n.refused), static_cast<unsigned long long>(n.failed),
-            static_cast<unsigned long long>(n.abandoned), static_cast<unsigned long long>(n.cut_off),
-            static_cast<unsigned long long>(n.attempts));
+    const auto& counts = router.counts();
+    out += row(
+        "%s: open %zu, standing %zu, offered %llu, served %llu, refused %llu, failed %llu, left %llu, "
+        "cut %llu, attempts %llu\n",
+        service->kind(), router.pending_count(), router.established_count(),
+        static_cast<unsigned long long>(counts.offered), static_cast<unsigned long long>(counts.served),
+        static_cast<unsigned long long>(counts.refused), static_cast<unsigned long long>(counts.failed),
+        static_cast<unsigned long long>(counts.abandoned), static_cast<unsigned long long>(counts.cut_off),
+        static_cast<unsigned long long>(counts.attempts));
     out += service->extra_status();
   }
   return out;
@@ -108,17 +108,17 @@
 
 std::string Console::calls() {
   auto out = row("%-10s %-40s %-16s %-8s %8s %9s\n", "front", "call", "class", "state", "attempts", "age_s");
-  std::size_t shown = 0, all = 0;
+  std::size_t shown = 0, total = 0;
   for (const auto& service : program_.services()) {
     for (const auto& call : service->router().calls()) {
-      if (++all > most_calls) continue;
+      if (++total > max_call_rows) continue;
       ++shown;
       out += row("%-10s %-40s %-16s %-8s %8u %9.1f\n", service->kind(), call.wire_id.c_str(),
                  call.class_name.c_str(), call.established ? "standing" : "open", call.attempts,
                  call.age_ms / 1000);
     }
   }
-  if (all > shown) out += row("and %zu more\n", all - shown);
+  if (total > shown) out += row("and %zu more\n", total - shown);
   return out;
 }
 
@@ -137,26 +137,26 @@
     std::memcpy(address.sun_path, path.c_str(), path.size());
     descriptor_ = ::socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0);
     if (::connect(descriptor_, reinterpret_cast<sockaddr*>(&address), sizeof address) != 0) {
-      const std::string why = std::strerror(errno);
+      const std::string error = std::strerror(errno);
       ::close(descriptor_);
-      throw std::runtime_error("no console at " + path + ": " + why);
+      throw std::runtime_error("no console at " + path + ": " + error);
     }
   }
   ~ConsoleClient() { ::close(descriptor_); }
   ConsoleClient(const ConsoleClient&) = delete;
   ConsoleClient& operator=(const ConsoleClient&) = delete;
 
-  /// Prints the answer; false when the program has closed the console.
-  bool command(const std::string& words) {
-    const auto line = words + "\n";
+  /// Sends a command and prints the answer; false if the connection ends before that.
+  bool command(const std::string& command_line) {
+    const auto line = command_line + "\n";
     if (::send(descriptor_, line.data(), line.size(), MSG_NOSIGNAL) < 0) return false;
     while (true) {
       const auto end = input_.find('\n');
       if (end == std::string::npos) {
         char buffer[4096];
-        const auto got = ::recv(descriptor_, buffer, sizeof buffer, 0);
-        if (got <= 0) return false;
-        input_.append(buffer, static_cast<std::size_t>(got));
+        const auto received = ::recv(descriptor_, buffer, sizeof buffer, 0);
+        if (received <= 0) return false;
+        input_.append(buffer, static_cast<std::size_t>(received));
         continue;
       }
       const auto text = input_.substr(0, end);
@@ -176,14 +176,14 @@
 int run_console(const std::string& path, const std::vector<std::string>& command) {
   ConsoleClient client(path);
   if (!command.empty()) {
-    std::string words;
-    for (const auto& each : command) words += (words.empty() ? "" : " ") + each;
-    return client.command(words) || words == "quit" ? 0 : 1;
+    std::string command_line;
+    for (const auto& each : command) command_line += (command_line.empty() ? "" : " ") + each;
+    return client.command(command_line) || command_line == "quit" ? 0 : 1;
   }
-  const bool terminal = ::isatty(0) != 0;
+  const bool interactive = ::isatty(0) != 0;
   std::string line;
   while (true) {
-    if (terminal) std::cout << "heathturn> " << std::flush;
+    if (interactive) std::cout << "heathturn> " << std::flush;
     if (!std::getline(std::cin, line)) return 0;
     if (line.empty()) continue;
     if (!client.command(line)) break;
--- a/src/console/console.hpp
+++ b/src/console/console.hpp
@@ -1,4 +1,4 @@
-// The operator's console: plain commands over a Unix socket, and the client that a terminal runs.
+// The operator's console: text commands over a Unix socket, and the command-line client for it.
 #pragma once
 
 #include <string>
@@ -9,9 +9,11 @@
 
 namespace heathturn {
 
-class Console : public ConnectionUser {
+/// Serves the console of a program. Each answer ends with a line that holds only a full stop.
+class Console : public ConnectionHandler {
  public:
-  /// `version` is what `status` shows. Throws std::runtime_error when the socket cannot be had.
+  /// `path` is the Unix socket to listen on, `version` is shown by `status`. Throws std::runtime_error if it
+  /// cannot listen.
   Console(Program& program, std::string path, std::string version);
   ~Console() override;
   Console(const Console&) = delete;
@@ -31,7 +33,8 @@
   std::string version_;
 };
 
-/// Runs the given command, or with none those that standard input gives. Returns the exit status.
+/// Sends the given command to the console at `path`, or without one the lines of standard input, and prints
+/// the answers. Returns the exit status. Throws std::runtime_error if there is no console.
 int run_console(const std::string& path, const std::vector<std::string>& command);
 
 }  // namespace heathturn
--- a/src/enum/dot_client.cpp
+++ b/src/enum/dot_client.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cstring>
 
-#include "net/tls/ending.hpp"
+#include "net/tls/handshake_outcome.hpp"
 
 namespace heathturn {
 
@@ -30,7 +30,8 @@
   server.name = name;
   server.context = std::move(context);
   if (!server.listed)
-    admission_.update_converter(id, clock_.now_ms(), std::nullopt, server.context->config().connections);
+    admission_.update_converter(id, clock_.now_ms(), std::nullopt,
+                                server.context->config().connections_per_member);
   server.listed = true;
   // Look-ups in flight at the old address may finish there.
   if (!moved) return;
@@ -46,7 +47,7 @@
   auto& server = it->second;
   server.listed = false;
   timers_.cancel(server.admission_timer);
-  server.context->sessions().drop(id.value);
+  server.context->sessions().remove(id.value);
   admission_.remove_converter(id);
   for (const auto& queued : std::exchange(server.queue, {}))
     fail_attempt(queued.attempt, AttemptResult::not_sent);
@@ -109,7 +110,7 @@
       if (server == servers_.end() || found == connections_.end() || !found->second.established) break;
       auto& state = found->second;
       auto& queue = server->second.queue;
-      const double max_age_ms = server->second.context->config().most_age_ms;
+      const double max_age_ms = server->second.context->config().max_connection_age_ms;
       if (max_age_ms > 0 && now_ms - state.since_ms > max_age_ms) state.retiring = true;
       // Abandoned look-ups keep their message ids and so fill a connection; a new one has all ids free.
       if (queue.empty() || state.retiring || state.attempts.size() >= max_look_ups_per_connection) {
@@ -167,7 +168,7 @@
 void DotClient::open_connection(ExchangeId id, Server& server, handshakes::Kind admitted) {
   bool session_offered = false;
   const auto connection =
-      net_.connect(server.address, *this, "upstream", server.context->config().handshake_ms,
+      net_.connect(server.address, *this, "upstream", server.context->config().handshake_timeout_ms,
                    {server.context, id.value, server.name}, session_offered);
   server.connections.push_back(connection);
   auto& state = connections_[connection];
@@ -180,7 +181,7 @@
   auto& state = connections_.at(connection);
   const double now_ms = clock_.now_ms();
   admission_.handshake_finished(state.server, now_ms, state.admitted, Outcome::established,
-                                net_.resumed(connection), now_ms - state.since_ms);
+                                net_.session_resumed(connection), now_ms - state.since_ms);
   state.established = true;
   state.since_ms = now_ms;
   const auto server = state.server;
@@ -189,22 +190,23 @@
 }
 
 void DotClient::on_input(Handle connection, evbuffer* in) {
-  net_.each_counted(connection, in, 2, max_message_bytes, [this, connection](const std::string& message) {
-    if (message.size() < 2) throw Unreadable{reason::malformed};
-    const auto state = connections_.find(connection);
-    if (state == connections_.end()) return;
-    const auto message_id = static_cast<std::uint16_t>(big_endian(message, 0, 2));
-    const auto found = state->second.attempts.find(message_id);
-    if (found == state->second.attempts.end()) return;
-    const auto attempt = found->second;
-    state->second.attempts.erase(found);
-    if (attempt != no_handle) {  // otherwise it was abandoned, and only its message id becomes free
-      attempts_.erase(attempt);
-      handler_.on_dot_answer(attempt, message);
-    }
-    if (const auto remaining = connections_.find(connection); remaining != connections_.end())
-      process_queue(remaining->second.server);
-  });
+  net_.read_length_prefixed(
+      connection, in, 2, max_message_bytes, [this, connection](const std::string& message) {
+        if (message.size() < 2) throw ProtocolError{reason::malformed};
+        const auto state = connections_.find(connection);
+        if (state == connections_.end()) return;
+        const auto message_id = static_cast<std::uint16_t>(big_endian(message, 0, 2));
+        const auto found = state->second.attempts.find(message_id);
+        if (found == state->second.attempts.end()) return;
+        const auto attempt = found->second;
+        state->second.attempts.erase(found);
+        if (attempt != no_handle) {  // otherwise it was abandoned, and only its message id becomes free
+          attempts_.erase(attempt);
+          handler_.on_dot_answer(attempt, message);
+        }
+        if (const auto remaining = connections_.find(connection); remaining != connections_.end())
+          process_queue(remaining->second.server);
+      });
 }
 
 /// Closes a connection that gets no new look-up, once no attempt waits on it.
@@ -230,7 +232,7 @@
   if (std::string(why).starts_with("tls_")) ++tls_failures_[why];
   const auto server = servers_.find(id);
   if (server != servers_.end()) std::erase(server->second.connections, connection);
-  const auto outcome = tls::ending_of(why);
+  const auto outcome = tls::handshake_outcome(why);
   if (state.established) {
     admission_.connection_closed(id, now_ms, is_reset && !state.attempts.empty());
   } else {
--- a/src/enum/dot_client.hpp
+++ b/src/enum/dot_client.hpp
@@ -27,7 +27,7 @@
 };
 
 /// Sends look-ups to name servers over TLS, on behalf of one handler.
-class DotClient : public ConnectionUser {
+class DotClient : public ConnectionHandler {
  public:
   DotClient(Clock& clock, TimerQueue& timers, Connections& net, const handshakes::Settings& settings,
             std::uint64_t seed, DotClientHandler& handler);
--- a/src/enum/enum_backend.cpp
+++ b/src/enum/enum_backend.cpp
@@ -245,7 +245,7 @@
 }
 
 void EnumBackend::on_input(Handle connection, evbuffer* in) {
-  net_.each_counted(connection, in, 2, 65535, [this, connection](const std::string& message) {
+  net_.read_length_prefixed(connection, in, 2, 65535, [this, connection](const std::string& message) {
     const auto it = attempt_by_connection_.find(connection);
     if (it != attempt_by_connection_.end()) process_answer(it->second, message, true);
   });
--- a/src/enum/enum_backend.hpp
+++ b/src/enum/enum_backend.hpp
@@ -18,7 +18,10 @@
 namespace heathturn {
 
 /// Carries the attempts of the ENUM service to the name servers and limits how many are in flight.
-class EnumBackend : public Backend, public ConnectionUser, public DatagramUser, public DotClientHandler {
+class EnumBackend : public Backend,
+                    public ConnectionHandler,
+                    public DatagramHandler,
+                    public DotClientHandler {
  public:
   EnumBackend(Clock& clock, TimerQueue& timers, Connections& net, Datagrams& datagrams, Router& router,
               const handshakes::Settings& handshakes, std::uint64_t seed);
--- a/src/enum/enum_frontend.cpp
+++ b/src/enum/enum_frontend.cpp
@@ -49,8 +49,9 @@
   for (int attempt = 1;; ++attempt) {
     socket_ = datagrams_.bind(config_->listen, *this);
     try {
-      return net_.listen(datagrams_.address(socket_), *this, "resolver",
-                         {.connections = max_connections, .requests = max_requests_per_connection});
+      return net_.listen(
+          datagrams_.address(socket_), *this, "resolver",
+          {.max_connections = max_connections, .max_open_requests = max_requests_per_connection});
     } catch (const std::runtime_error&) {
       // When the system chooses the port, the one that it chose for UDP may be in use for TCP.
       if (config_->listen.port != 0 || attempt == max_bind_attempts) throw;
@@ -68,11 +69,12 @@
 void EnumFrontend::on_connected(Handle connection) { restart_idle_timer(connection); }
 
 void EnumFrontend::on_input(Handle connection, evbuffer* in) {
-  net_.each_counted(connection, in, 2, max_tcp_query_bytes, [this, connection](const std::string& message) {
-    if (message.size() < dns::header_bytes) throw Unreadable{reason::malformed};
-    restart_idle_timer(connection);
-    on_query({{}, connection}, message);
-  });
+  net_.read_length_prefixed(connection, in, 2, max_tcp_query_bytes,
+                            [this, connection](const std::string& message) {
+                              if (message.size() < dns::header_bytes) throw ProtocolError{reason::malformed};
+                              restart_idle_timer(connection);
+                              on_query({{}, connection}, message);
+                            });
 }
 
 void EnumFrontend::restart_idle_timer(Handle connection) {
--- a/src/enum/enum_frontend.hpp
+++ b/src/enum/enum_frontend.hpp
@@ -16,7 +16,7 @@
 namespace heathturn {
 
 /// Listens for DNS queries, offers them to the router as requests and answers them.
-class EnumFrontend : public Frontend, public ConnectionUser, public DatagramUser {
+class EnumFrontend : public Frontend, public ConnectionHandler, public DatagramHandler {
  public:
   EnumFrontend(Clock& clock, TimerQueue& timers, Connections& net, Datagrams& datagrams, Router& router,
                routes::Selector& selector, std::shared_ptr<const EnumConfig> config);
--- a/src/enum/enum_service.cpp
+++ b/src/enum/enum_service.cpp
@@ -37,7 +37,7 @@
                                       ? nullptr
                                       : previous[static_cast<std::size_t>(found - previous_names.begin())];
     if (previous_context && previous_context->config() == *pool.tls &&
-        previous_context->digest() == out.back()->digest())
+        previous_context->file_contents() == out.back()->file_contents())
       out.back() = previous_context;
   }
   return out;
@@ -176,7 +176,7 @@
   const double now_ms = program_.clock().now_ms();
   for (const auto& context : contexts_) {
     if (context == nullptr) continue;
-    for (const auto& [what, not_after] : context->held()) {
+    for (const auto& [what, not_after] : context->expiries()) {
       const double days_left = (not_after - now_ms) / day_ms;
       const auto* threshold = std::find_if(std::begin(expiry_warning_days), std::end(expiry_warning_days),
                                            [days_left](int days) { return days_left <= days; });
--- a/src/eureka/client.hpp
+++ b/src/eureka/client.hpp
@@ -1,4 +1,5 @@
-// The client of a Eureka registry: fetches the list of converters, and keeps this program registered.
+// A client of a Eureka registry: fetches the list of converters periodically, and keeps this program
+// registered.
 #pragma once
 
 #include <event2/http.h>
@@ -15,39 +16,43 @@
 
 namespace heathturn {
 
+/// Fetches the instances of a registry, and registers this program there if so configured.
 class EurekaClient {
  public:
-  using Sink = std::function<void()>;  ///< the list has been heard anew
+  using UpdateCallback = std::function<void()>;  ///< a reply has updated the list
   EurekaClient(Clock& clock, TimerQueue& timers, event_base* base, EurekaConfig config, LogSink log,
-               Sink sink);
+               UpdateCallback on_update);
   ~EurekaClient();
   EurekaClient(const EurekaClient&) = delete;
   EurekaClient& operator=(const EurekaClient&) = delete;
 
-  /// `own`: where this program listens, for its registration.
-  void start(const Address& own);
-  /// The instances of an application as last heard; those that cannot be used are left out.
+  /// Starts fetching. `own_address` is the address under which this program registers itself.
+  void start(const Address& own_address);
+  /// The instances of an application in the last valid reply, without those that cannot be used.
   [[nodiscard]] std::vector<Converter> instances(const std::string& application) const {
     return instances_.converters(application);
   }
+  /// Ends the heartbeat and removes the registration.
   void deregister();
+  /// Whether the removal still waits for its reply.
   [[nodiscard]] bool deregistering() const { return deregistering_; }
 
  private:
-  /// The status, 0 for no reply at all, and the body.
-  using Reply = std::function<void(int, const std::string&)>;
-  struct Call {
+  /// Called with the HTTP status, 0 if there was no reply, and the body.
+  using ReplyCallback = std::function<void(int, const std::string&)>;
+  struct Request {
     EurekaClient* owner = nullptr;
     evhttp_connection* connection = nullptr;
-    Reply reply;
+    ReplyCallback on_reply;
     bool done = false;
   };
-  void request(evhttp_cmd_type method, const std::string& path, const std::string& body, Reply reply);
+  void send_request(evhttp_cmd_type method, const std::string& path, const std::string& body,
+                    ReplyCallback on_reply);
   void fetch();
-  void fetched(bool whole, int status, const std::string& body);
+  void on_fetched(bool full, int status, const std::string& body);
   void register_self();
-  void beat();
-  void free_done();
+  void heartbeat();
+  void free_completed();
   [[nodiscard]] std::string own_path() const;
 
   Clock& clock_;
@@ -55,11 +60,11 @@
   event_base* base_;
   EurekaConfig config_;
   LogSink log_;
-  Sink sink_;
+  UpdateCallback on_update_;
   EurekaInstances instances_;
-  std::list<Call> calls_;
-  Address own_;
-  bool have_all_ = false;
+  std::list<Request> requests_;
+  Address own_address_;
+  bool has_full_list_ = false;
   bool outage_ = false;
   bool registered_ = false;
   bool deregistering_ = false;
--- a/src/eureka/instances.hpp
+++ b/src/eureka/instances.hpp
@@ -1,4 +1,4 @@
-// What a Eureka registry lists, kept from its replies (the JSON form of its REST operations).
+// The instances listed by a Eureka registry, from the JSON replies of its REST operations.
 #pragma once
 
 #include <map>
@@ -9,13 +9,16 @@
 
 namespace heathturn {
 
+/// The table of instances, updated by full and by delta replies.
 class EurekaInstances {
  public:
-  /// The reply to `apps`. Throws InputError when it is none; the list then stays as it was.
-  void take_all(const std::string& json);
-  /// The reply to `apps/delta`. False when the list after it is not the registry's: all must be fetched.
-  [[nodiscard]] bool take_delta(const std::string& json);
-  /// The instances of an application as converters; those that cannot be used are left out.
+  /// Replaces the table by a reply to `apps`. Throws InputError if it is invalid; the table is then
+  /// unchanged.
+  void apply_full(const std::string& json);
+  /// Applies a reply to `apps/delta`. False if the result does not match the registry's hash: the table is
+  /// then unchanged, and the full list must be fetched. Throws InputError if the reply is invalid.
+  [[nodiscard]] bool apply_delta(const std::string& json);
+  /// The instances of an application as converters, without those that cannot be used.
   [[nodiscard]] std::vector<Converter> converters(const std::string& application) const;
 
  private:
@@ -25,14 +28,14 @@
     Converter converter;
     bool usable = false;
   };
-  using Table = std::map<std::string, Instance>;  ///< by application and id
+  using Table = std::map<std::string, Instance>;  ///< key: "application/id"
   static std::string hash_of(const Table& table);
-  static std::string apply(const std::string& json, bool whole, Table& table);
+  static std::string apply(const std::string& json, bool full, Table& table);
 
   Table table_;
 };
 
-/// The body that registers an instance.
+/// The JSON body of the request that registers an instance.
 [[nodiscard]] std::string eureka_registration(const std::string& application, const std::string& instance,
                                               const Address& address);
 
--- a/src/log/event.hpp
+++ b/src/log/event.hpp
@@ -1,5 +1,5 @@
-// One event of the log: a stable name and its fields. Whoever has something to say is given a sink, and knows
-// nothing of where it goes.
+// One event of the log: a stable name and its fields. Components that log are given a sink and do not know
+// where it writes to.
 #pragma once
 
 #include <cstdint>
@@ -11,24 +11,26 @@
 
 namespace heathturn {
 
+/// Severity of an event.
 enum class LogLevel { debug, info, warn, error };
 
+/// A named value of an event: a number, or a text.
 struct LogField {
   template <typename Value>
-  LogField(const char* name, const Value& given) : key(name) {
+  LogField(const char* name, const Value& value) : key(name) {
     if constexpr (std::is_arithmetic_v<Value>) {
-      text = std::to_string(given);
-      plain = true;
+      text = std::to_string(value);
+      is_number = true;
     } else {
-      text = given;
+      text = value;
     }
   }
   const char* key;
   std::string text;
-  bool plain = false;  ///< a number
+  bool is_number = false;
 };
 
-/// `event` is one of docs/log.md.
+/// Writes one event. `event` is one of the names in docs/log.md.
 using LogSink = std::function<void(LogLevel, const char* event, const std::vector<LogField>& fields)>;
 
 }  // namespace heathturn
--- a/src/log/event_log.cpp
+++ b/src/log/event_log.cpp
@@ -21,13 +21,14 @@
   return {out.GetString(), out.GetSize()};
 }
 
-/// As it is where it is one plain word, else quoted as in JSON: a peer's text can neither end a line nor look
-/// like a field.
+/// The value as it is if it is a single word without special characters, else quoted as in JSON, so that text
+/// from a peer can neither end a line nor look like another field.
 std::string value_text(const LogField& field) {
-  const bool plain = !field.text.empty() && field.text.find_first_of(" =\"\\") == std::string::npos &&
-                     std::all_of(field.text.begin(), field.text.end(),
-                                 [](char c) { return static_cast<unsigned char>(c) > 0x20 && c != 0x7f; });
-  return plain ? field.text : json_text(field.text);
+  const bool needs_no_quotes =
+      !field.text.empty() && field.text.find_first_of(" =\"\\") == std::string::npos &&
+      std::all_of(field.text.begin(), field.text.end(),
+                  [](char c) { return static_cast<unsigned char>(c) > 0x20 && c != 0x7f; });
+  return needs_no_quotes ? field.text : json_text(field.text);
 }
 
 spdlog::level::level_enum level_of(LogLevel level) {
@@ -46,13 +47,14 @@
 
 }  // namespace
 
-struct EventLog::Written {
+struct EventLog::WriteCount {
   std::atomic<std::uint64_t> lines{0};
 };
 
 namespace {
 
-/// Writes whole lines. Errors are nobody's: a log that nobody can read must not end the program.
+/// Writes whole lines to a file descriptor. Write errors are ignored: an unreadable log must not end the
+/// program.
 template <typename Count>
 class DescriptorSink : public spdlog::sinks::base_sink<spdlog::details::null_mutex> {
  public:
@@ -64,13 +66,13 @@
     spdlog::memory_buf_t line;
     formatter_->format(message, line);
     for (std::size_t at = 0; at < line.size();) {
-      const auto wrote = ::write(descriptor_, line.data() + at, line.size() - at);
-      if (wrote < 0 && errno == EAGAIN) {
+      const auto bytes_written = ::write(descriptor_, line.data() + at, line.size() - at);
+      if (bytes_written < 0 && errno == EAGAIN) {
         std::this_thread::sleep_for(std::chrono::milliseconds(5));
         continue;
       }
-      if (wrote < 0 && errno != EINTR) break;
-      if (wrote > 0) at += static_cast<std::size_t>(wrote);
+      if (bytes_written < 0 && errno != EINTR) break;
+      if (bytes_written > 0) at += static_cast<std::size_t>(bytes_written);
     }
     count_->lines.fetch_add(1);
   }
@@ -83,29 +85,29 @@
 
 }  // namespace
 
-EventLog::EventLog(std::string name, LogFormat format, LogLevel least, int descriptor)
+EventLog::EventLog(std::string name, LogFormat format, LogLevel min_level, int descriptor)
     : format_(format),
-      written_(std::make_shared<Written>()),
-      writer_(std::make_shared<spdlog::details::thread_pool>(most_waiting, 1)) {
-  auto sink = std::make_shared<DescriptorSink<Written>>(descriptor, written_);
+      write_count_(std::make_shared<WriteCount>()),
+      writer_(std::make_shared<spdlog::details::thread_pool>(max_queued_lines, 1)) {
+  auto sink = std::make_shared<DescriptorSink<WriteCount>>(descriptor, write_count_);
   name = format == LogFormat::json ? json_text(name) : value_text({"name", name});
   logger_ = std::make_shared<spdlog::async_logger>(std::move(name), std::move(sink), writer_,
                                                    spdlog::async_overflow_policy::overrun_oldest);
   logger_->set_pattern(format == LogFormat::json ? R"({"ts":%E.%e,"level":"%l","name":%n,%v})"
                                                  : "ts=%E.%e level=%l name=%n %v",
                        spdlog::pattern_time_type::utc);
-  logger_->set_level(level_of(least));
+  logger_->set_level(level_of(min_level));
   logger_->set_error_handler([](const std::string&) {});
 }
 
 EventLog::~EventLog() = default;
 
-std::string EventLog::text(LogFormat format, const char* event, const std::vector<LogField>& fields) {
+std::string EventLog::format_event(LogFormat format, const char* event, const std::vector<LogField>& fields) {
   std::string out;
   if (format == LogFormat::json) {
     out = "\"event\":" + json_text(event);
     for (const auto& each : fields) {
-      out += "," + json_text(each.key) + ":" + (each.plain ? each.text : json_text(each.text));
+      out += "," + json_text(each.key) + ":" + (each.is_number ? each.text : json_text(each.text));
     }
     return out;
   }
@@ -115,30 +117,31 @@
 }
 
 void EventLog::write(double now, LogLevel level, const char* event, const std::vector<LogField>& fields) {
-  const auto as = level_of(level);
-  if (!logger_->should_log(as)) return;
-  const auto at = spdlog::log_clock::time_point(std::chrono::duration_cast<spdlog::log_clock::duration>(
+  const auto spdlog_level = level_of(level);
+  if (!logger_->should_log(spdlog_level)) return;
+  const auto time = spdlog::log_clock::time_point(std::chrono::duration_cast<spdlog::log_clock::duration>(
       std::chrono::duration<double, std::milli>(now)));
-  ++given_;
-  logger_->log(at, spdlog::source_loc{}, as, spdlog::string_view_t(text(format_, event, fields)));
+  ++submitted_;
+  logger_->log(time, spdlog::source_loc{}, spdlog_level,
+               spdlog::string_view_t(format_event(format_, event, fields)));
 }
 
 std::uint64_t EventLog::dropped() const { return writer_->overrun_counter(); }
 
-bool EventLog::tell_dropped(double now) {
-  const auto lost = dropped();
-  if (lost == told_) return true;
-  if (writer_->queue_size() > most_waiting / 2) return false;
-  const auto more = lost - told_;
-  told_ = lost;
-  write(now, LogLevel::warn, "log_dropped", {{"count", more}});
+bool EventLog::report_dropped(double now) {
+  const auto dropped_lines = dropped();
+  if (dropped_lines == reported_drops_) return true;
+  if (writer_->queue_size() > max_queued_lines / 2) return false;
+  const auto unreported = dropped_lines - reported_drops_;
+  reported_drops_ = dropped_lines;
+  write(now, LogLevel::warn, "log_dropped", {{"count", unreported}});
   return true;
 }
 
 bool EventLog::close(double wait_ms) {
-  const auto until = std::chrono::steady_clock::now() + std::chrono::duration<double, std::milli>(wait_ms);
-  while (written_->lines.load() + writer_->overrun_counter() < given_) {
-    if (std::chrono::steady_clock::now() >= until) return false;
+  const auto deadline = std::chrono::steady_clock::now() + std::chrono::duration<double, std::milli>(wait_ms);
+  while (write_count_->lines.load() + writer_->overrun_counter() < submitted_) {
+    if (std::chrono::steady_clock::now() >= deadline) return false;
     std::this_thread::sleep_for(std::chrono::milliseconds(1));
   }
   return true;
--- a/src/net/address.hpp
+++ b/src/net/address.hpp
@@ -1,4 +1,4 @@
-// An IPv4 address with a port, as the configuration and the event bus give them.
+// An IPv4 address with a port, as used in the configuration and on the event bus.
 #pragma once
 
 #include <arpa/inet.h>
@@ -11,8 +11,9 @@
 
 namespace heathturn {
 
+/// An IPv4 address and port in host byte order.
 struct Address {
-  std::uint32_t host = 0;  ///< in host order
+  std::uint32_t host = 0;
   std::uint16_t port = 0;
   auto operator<=>(const Address&) const = default;
 
@@ -23,6 +24,7 @@
     out.sin_addr.s_addr = htonl(host);
     return out;
   }
+  /// "127.0.0.1:2905".
   [[nodiscard]] std::string text() const {
     std::string out;
     for (int shift = 24; shift >= 0; shift -= 8) {
@@ -33,7 +35,7 @@
   [[nodiscard]] static Address from(const sockaddr_in& in) {
     return {ntohl(in.sin_addr.s_addr), ntohs(in.sin_port)};
   }
-  /// "127.0.0.1:2905"; nothing for any other form.
+  /// Parses the form that text() gives; nullopt for any other.
   [[nodiscard]] static std::optional<Address> parse(const std::string& text) {
     const auto colon = text.rfind(':');
     if (colon == std::string::npos) return std::nullopt;
--- a/src/net/connections.hpp
+++ b/src/net/connections.hpp
@@ -1,4 +1,5 @@
-// The event loop, and every stream connection in one table of numbered slots.
+// The event loop and all stream connections (TCP, TLS, Unix sockets), kept in one table and identified by
+// handles.
 #pragma once
 
 #include <event2/buffer.h>
@@ -22,7 +23,7 @@
 
 namespace heathturn {
 
-/// What a connection ended by, as the log names it.
+/// Reason codes for the end of a connection, as written to the log.
 namespace reason {
 inline constexpr const char* peer_closed = "peer_closed";
 inline constexpr const char* reset = "reset";
@@ -40,21 +41,24 @@
 inline constexpr const char* finished = "finished";
 }  // namespace reason
 
-/// Thrown by who reads a message that cannot be used: its connection ends by this reason.
-struct Unreadable {
-  const char* reason;
+/// Thrown by a message handler for an invalid message. The connection is closed with this reason code.
+struct ProtocolError {
+  const char* reason_code;
 };
 
-/// The owner of connections of one kind.
-class ConnectionUser {
+/// Receives the events of the connections that it opened or accepted.
+class ConnectionHandler {
  public:
-  virtual ~ConnectionUser() = default;
+  virtual ~ConnectionHandler() = default;
+  /// The connection is established; with TLS, after the handshake and the verification of the peer.
   virtual void on_connected(Handle) {}
+  /// New data has been appended to `in`, which holds all unread input.
   virtual void on_input(Handle connection, evbuffer* in) = 0;
-  /// The connection is gone already; `reason` says by what.
-  virtual void on_ended(Handle connection, const char* reason) = 0;
+  /// The connection has been closed and its handle is stale.
+  virtual void on_ended(Handle connection, const char* reason_code) = 0;
 };
 
+/// Opens, accepts, reads, writes and closes stream connections, and runs the event loop. Runs on one thread.
 class Connections {
  public:
   Connections(Clock& clock, TimerQueue& timers, LogSink log);
@@ -62,114 +66,126 @@
   Connections(const Connections&) = delete;
   Connections& operator=(const Connections&) = delete;
 
-  /// Runs until stop(); deadlines are served between the events.
+  /// Runs the event loop until stop(), with due timers between the events.
   void run();
   void stop() { stopping_ = true; }
   [[nodiscard]] event_base* base() const { return base_.get(); }
 
-  /// `side` names the kind of peer in the log.
-  Handle connect(const Address& to, ConnectionUser& user, const char* side, double timeout_ms);
-  /// The same with TLS: `timeout_ms` bounds the handshake too, and on_connected() comes after it. The id and
-  /// name are the converter's; its own session is taken up again where there is one. `offered`: there was
-  /// one.
-  struct Secured {
+  /// Opens a connection, which ends after `timeout_ms` if it is not established by then. `side` names the
+  /// kind of peer in the log. The handler is never called from within connect().
+  Handle connect(const Address& to, ConnectionHandler& handler, const char* side, double timeout_ms);
+  /// The peer of an outgoing TLS connection: its TLS settings, and the id and name of the converter.
+  struct TlsPeer {
     std::shared_ptr<tls::Context> context;
     std::uint32_t id = 0;
     std::string name;
   };
-  Handle connect(const Address& to, ConnectionUser& user, const char* side, double timeout_ms,
-                 const Secured& secured, bool& offered);
-  /// Of an open TLS connection: its session was taken up again.
-  [[nodiscard]] bool resumed(Handle connection);
-  /// When the certificate ends that the peer has shown, Unix ms; 0 for none.
-  [[nodiscard]] double shown_not_after(Handle connection);
-  /// What the peers of a listener may hold here.
-  struct Bounds {
-    std::size_t connections = 0;  ///< beyond, the idlest one makes room
-    std::size_t requests = 0;     ///< open at once on one connection; 0: no bound
-    double first_message_ms = 0;  ///< a connection without a whole message ends after this; 0: never
+  /// The same with TLS: `timeout_ms` covers the handshake too. Offers a session of this peer for resumption
+  /// if one is cached; `session_offered` says whether it did. Throws std::bad_alloc.
+  Handle connect(const Address& to, ConnectionHandler& handler, const char* side, double timeout_ms,
+                 const TlsPeer& tls_peer, bool& session_offered);
+  /// Whether an open TLS connection resumed a session.
+  [[nodiscard]] bool session_resumed(Handle connection);
+  /// When the certificate presented by the peer expires, in Unix ms; 0 without a certificate.
+  [[nodiscard]] double peer_certificate_not_after_ms(Handle connection);
+  /// Limits on the connections that a listener accepts.
+  struct Limits {
+    std::size_t max_connections = 0;      ///< when reached, the idlest one is closed
+    std::size_t max_open_requests = 0;    ///< on one connection; 0: no limit
+    double first_message_timeout_ms = 0;  ///< for its first whole message; 0: none
   };
-  /// Returns where it listens. Throws std::runtime_error when the address cannot be had.
-  Address listen(const Address& at, ConnectionUser& user, const char* side, const Bounds& bounds);
-  void listen_local(const std::string& path, ConnectionUser& user, const char* side, std::size_t most);
-  /// Other bounds for who connects from now on to the listener at this address.
-  void set_bounds(const Address& at, const Bounds& bounds);
-  /// Bytes that one peer may leave unread.
-  void set_most_unsent(std::size_t bytes) { most_unsent_ = bytes; }
-  /// A request is open on the connection, which is not ended for its idleness until end_request(). False when
-  /// it has as many already as it may have.
+  /// Listens on a TCP address and returns the bound one. Throws std::runtime_error if that fails.
+  Address listen(const Address& at, ConnectionHandler& handler, const char* side, const Limits& limits);
+  /// Listens on a Unix socket that only its owner may use. Replaces a socket that nobody listens on any more.
+  /// Throws std::runtime_error if the path is in use or too long.
+  void listen_local(const std::string& path, ConnectionHandler& handler, const char* side,
+                    std::size_t max_connections);
+  /// Replaces the limits of the listener at this address. Connections that are open already stay open.
+  void set_limits(const Address& at, const Limits& limits);
+  /// Limits the output that waits for one peer; a connection that would exceed it is closed.
+  void set_max_unsent_bytes(std::size_t bytes) { max_unsent_bytes_ = bytes; }
+  /// Counts an open request: until end_request() the connection is not closed as idle. False if it has
+  /// reached its limit of open requests.
   bool begin_request(Handle connection);
   void end_request(Handle connection);
-  using Take = std::function<void(const std::string&)>;
-  /// Gives `take` each whole line that has come, or each message behind a count of `width` bytes. One longer
-  /// than `most` ends the connection, and so does Unreadable.
-  void each_line(Handle connection, evbuffer* in, std::size_t most, const Take& take);
-  void each_counted(Handle connection, evbuffer* in, std::size_t width, std::size_t most, const Take& take);
-  /// False when the connection is gone, or ends here because the peer does not read.
+  using MessageCallback = std::function<void(const std::string&)>;
+  /// Calls `on_message` for each complete line in the input. A line longer than `max_bytes`, or a
+  /// ProtocolError thrown by the callback, ends the connection.
+  void read_lines(Handle connection, evbuffer* in, std::size_t max_bytes, const MessageCallback& on_message);
+  /// The same for messages that follow a big-endian length of `width` bytes.
+  void read_length_prefixed(Handle connection, evbuffer* in, std::size_t width, std::size_t max_bytes,
+                            const MessageCallback& on_message);
+  /// Queues output. False if the connection has ended or is finishing, or ends now because the peer does not
+  /// read.
   bool write(Handle connection, std::string_view bytes);
-  void close(Handle connection, const char* reason);
-  /// Ends the connection once all that was written has left.
+  /// Closes the connection at once, without waiting for unsent output.
+  void close(Handle connection, const char* reason_code);
+  /// Closes the connection once all output has been sent; input is no longer read.
   void finish(Handle connection);
   [[nodiscard]] bool has(Handle connection) { return table_.find(connection) != nullptr; }
-  /// Where the peer is; nothing for a local one.
+  /// The address of the peer; empty for a Unix socket.
   [[nodiscard]] Address peer(Handle connection);
-  [[nodiscard]] std::size_t unsent();
+  /// Output of all established connections that has not been sent yet.
+  [[nodiscard]] std::size_t unsent_bytes();
+  /// Number of connections, including those not yet established.
   [[nodiscard]] std::size_t size() const { return table_.size(); }
 
  private:
   struct Listener {
     Connections* owner = nullptr;
-    ConnectionUser* user = nullptr;
+    ConnectionHandler* handler = nullptr;
     const char* side = "";
-    Bounds bounds;
-    std::size_t open = 0;
-    evconnlistener* handle = nullptr;
-    Address at;
+    Limits limits;
+    std::size_t open_connections = 0;
+    evconnlistener* event_listener = nullptr;
+    Address address;
     TimerQueue::Key reopen;
   };
   struct Connection {
     bufferevent* stream = nullptr;
-    ConnectionUser* user = nullptr;
+    ConnectionHandler* handler = nullptr;
     const char* side = "";
     std::string peer;
     Address address;
-    double since = 0;
-    double heard = 0;          ///< its last whole message
-    std::size_t requests = 0;  ///< open ones
-    bool spoken = false;       ///< a whole message has come
+    double opened_at_ms = 0;
+    double last_message_at_ms = 0;  ///< when the last whole message arrived
+    std::size_t open_requests = 0;
+    bool message_received = false;
     bool connected = false;
     bool finishing = false;
     Listener* listener = nullptr;
     TimerQueue::Key timeout;
-    std::shared_ptr<tls::Context> context;  ///< outlives what the SSL holds of it
-    std::shared_ptr<tls::Context::Connection> secured;
+    std::shared_ptr<tls::Context> tls_context;  ///< keeps the SSL_CTX alive as long as the SSL
+    std::shared_ptr<tls::Context::ConnectionState> tls_state;
   };
-  /// What a bufferevent's callbacks are given: it lives as long as the bufferevent.
-  struct Hook {
+  /// Argument of a bufferevent's callbacks; lives as long as the bufferevent.
+  struct CallbackContext {
     Connections* owner;
     Handle connection;
   };
-  void each(Handle connection, const std::function<Framed(std::string&)>& next, const Take& take);
-  Handle adopt(bufferevent* stream, Connection connection);
-  Handle begin(bufferevent* stream, Connection connection, const Address& to, double timeout_ms);
-  void log_refused(const Connection& connection, const char* why);
-  void bind(evconnlistener* handle, ConnectionUser& user, const char* side, const Bounds& bounds);
-  bool make_room(Listener& listener);
-  void accepted(Listener& listener, evutil_socket_t socket, sockaddr* from);
-  void drop(Handle connection, const char* reason);
-  void on_event(Handle connection, short what);
+  void read_messages(Handle connection, const std::function<FrameStatus(std::string&)>& next_message,
+                     const MessageCallback& on_message);
+  Handle add_connection(bufferevent* stream, Connection connection);
+  Handle start_connecting(bufferevent* stream, Connection connection, const Address& to, double timeout_ms);
+  void log_tls_refused(const Connection& connection, const char* reason_code);
+  void add_listener(evconnlistener* event_listener, ConnectionHandler& handler, const char* side,
+                    const Limits& limits);
+  bool close_idlest(Listener& listener);
+  void on_accepted(Listener& listener, evutil_socket_t socket, sockaddr* from);
+  void end_connection(Handle connection, const char* reason_code);
+  void on_event(Handle connection, short events);
   static void read_callback(bufferevent* stream, void* context);
   static void write_callback(bufferevent* stream, void* context);
-  static void event_callback(bufferevent* stream, short what, void* context);
+  static void event_callback(bufferevent* stream, short events, void* context);
 
   Clock& clock_;
   TimerQueue& timers_;
   LogSink log_;
   std::unique_ptr<event_base, void (*)(event_base*)> base_;
   SlotTable<Connection> table_;
-  std::map<Handle, std::unique_ptr<Hook>> hooks_;
+  std::map<Handle, std::unique_ptr<CallbackContext>> callback_contexts_;
   std::vector<std::unique_ptr<Listener>> listeners_;
-  std::size_t most_unsent_ = std::size_t{1} << 20;
+  std::size_t max_unsent_bytes_ = std::size_t{1} << 20;
   bool stopping_ = false;
 };
 
--- a/src/net/datagrams.cpp
+++ b/src/net/datagrams.cpp
@@ -10,46 +10,46 @@
 namespace heathturn {
 namespace {
 
-constexpr std::size_t most_datagram = 65535;
-constexpr int most_in_a_row = 64;  // of one socket, before the others have their turn
+constexpr std::size_t max_datagram_bytes = 65535;
+constexpr int max_datagrams_per_turn = 64;  // of one socket, before the event loop serves the others
 
 int new_socket() { return ::socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0); }
 
 }  // namespace
 
 Datagrams::Datagrams(event_base* base, LogSink log)
-    : base_(base), log_(std::move(log)), buffer_(most_datagram, '\0') {}
+    : base_(base), log_(std::move(log)), buffer_(max_datagram_bytes, '\0') {}
 
 Datagrams::~Datagrams() {
   for (const auto handle : table_.handles()) close(handle);
 }
 
-Handle Datagrams::adopt(int descriptor, DatagramUser& user, bool connected) {
-  const auto handle = table_.add({descriptor, nullptr, &user, connected});
-  auto& hook = hooks_[handle];
-  hook = std::make_unique<Hook>(Hook{this, handle});
-  event* ready = event_new(
+Handle Datagrams::add_socket(int descriptor, DatagramHandler& handler, bool connected) {
+  const auto handle = table_.add({descriptor, nullptr, &handler, connected});
+  auto& callback_context = callback_contexts_[handle];
+  callback_context = std::make_unique<CallbackContext>(CallbackContext{this, handle});
+  event* read_event = event_new(
       base_, descriptor, EV_READ | EV_PERSIST,
       [](evutil_socket_t, short, void* context) {
-        const auto [owner, socket] = *static_cast<Hook*>(context);
+        const auto [owner, socket] = *static_cast<CallbackContext*>(context);
         owner->receive(socket);
       },
-      hook.get());
-  table_.find(handle)->ready = ready;
-  event_add(ready, nullptr);
+      callback_context.get());
+  table_.find(handle)->read_event = read_event;
+  event_add(read_event, nullptr);
   return handle;
 }
 
-Handle Datagrams::bind(const Address& at, DatagramUser& user) {
+Handle Datagrams::bind(const Address& at, DatagramHandler& handler) {
   const int descriptor = new_socket();
   const auto address = at.to_sockaddr();
   if (descriptor < 0 ||
       ::bind(descriptor, reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0) {
-    const std::string why = std::strerror(errno);
+    const std::string error = std::strerror(errno);
     if (descriptor >= 0) ::close(descriptor);
-    throw std::runtime_error("cannot take datagrams on " + at.text() + ": " + why);
+    throw std::runtime_error("cannot receive datagrams on " + at.text() + ": " + error);
   }
-  return adopt(descriptor, user, false);
+  return add_socket(descriptor, handler, false);
 }
 
 Address Datagrams::address(Handle handle) {
@@ -59,7 +59,7 @@
   return Address::from(bound);
 }
 
-Handle Datagrams::connect(const Address& to, DatagramUser& user) {
+Handle Datagrams::connect(const Address& to, DatagramHandler& handler) {
   const int descriptor = new_socket();
   const auto address = to.to_sockaddr();
   if (descriptor < 0 ||
@@ -68,7 +68,7 @@
     if (descriptor >= 0) ::close(descriptor);
     return no_handle;
   }
-  return adopt(descriptor, user, true);
+  return add_socket(descriptor, handler, true);
 }
 
 bool Datagrams::send(Handle handle, const std::string& bytes) {
@@ -86,27 +86,27 @@
 void Datagrams::close(Handle handle) {
   auto* socket = table_.find(handle);
   if (socket == nullptr) return;
-  event_free(socket->ready);
+  event_free(socket->read_event);
   ::close(socket->descriptor);
-  hooks_.erase(handle);
+  callback_contexts_.erase(handle);
   table_.erase(handle);
 }
 
 void Datagrams::receive(Handle handle) {
-  for (int i = 0; i < most_in_a_row; ++i) {
+  for (int i = 0; i < max_datagrams_per_turn; ++i) {
     const auto* socket = table_.find(handle);
     if (socket == nullptr) return;
     sockaddr_in from{};
     socklen_t length = sizeof from;
-    const auto got = ::recvfrom(socket->descriptor, buffer_.data(), buffer_.size(), 0,
-                                reinterpret_cast<sockaddr*>(&from), &length);
-    if (got < 0) {
-      // Of a bound socket an error tells of some answer sent earlier: it must not end the front.
-      if (errno == ECONNREFUSED && socket->connected) socket->user->on_refused(handle);
+    const auto received = ::recvfrom(socket->descriptor, buffer_.data(), buffer_.size(), 0,
+                                     reinterpret_cast<sockaddr*>(&from), &length);
+    if (received < 0) {
+      // On a bound socket the error belongs to an earlier answer to some client; the socket stays in use.
+      if (errno == ECONNREFUSED && socket->connected) socket->handler->on_refused(handle);
       return;
     }
-    socket->user->on_datagram(handle, Address::from(from),
-                              std::string(buffer_.data(), static_cast<std::size_t>(got)));
+    socket->handler->on_datagram(handle, Address::from(from),
+                                 std::string(buffer_.data(), static_cast<std::size_t>(received)));
   }
 }
 
--- a/src/net/datagrams.hpp
+++ b/src/net/datagrams.hpp
@@ -1,5 +1,5 @@
-// UDP sockets in a table of numbered slots: bound ones that take from anybody, and connected ones that the
-// system itself keeps to one peer.
+// UDP sockets, kept in one table and identified by handles: bound ones receive from any sender, connected
+// ones only from their peer, which the kernel enforces.
 #pragma once
 
 #include <event2/event.h>
@@ -15,14 +15,16 @@
 
 namespace heathturn {
 
-class DatagramUser {
+/// Receives the datagrams of a socket.
+class DatagramHandler {
  public:
-  virtual ~DatagramUser() = default;
+  virtual ~DatagramHandler() = default;
   virtual void on_datagram(Handle socket, const Address& from, const std::string& bytes) = 0;
-  /// The peer of a connected socket has no such port.
+  /// The peer of a connected socket has answered with ICMP "port unreachable".
   virtual void on_refused(Handle) {}
 };
 
+/// Opens UDP sockets on an event loop, and sends and receives on them.
 class Datagrams {
  public:
   Datagrams(event_base* base, LogSink log);
@@ -30,12 +32,13 @@
   Datagrams(const Datagrams&) = delete;
   Datagrams& operator=(const Datagrams&) = delete;
 
-  /// Throws std::runtime_error when the address cannot be had.
-  Handle bind(const Address& at, DatagramUser& user);
+  /// Binds a socket. Throws std::runtime_error if that fails.
+  Handle bind(const Address& at, DatagramHandler& handler);
+  /// The local address; the handle must be valid.
   [[nodiscard]] Address address(Handle socket);
-  /// On a port of the system's choice, a new one each time; no_handle when no socket can be had.
-  Handle connect(const Address& to, DatagramUser& user);
-  /// False when it could not leave; a datagram may get lost all the same.
+  /// Opens a socket to one peer, on a new ephemeral port each time; no_handle if that fails.
+  Handle connect(const Address& to, DatagramHandler& handler);
+  /// False if the datagram could not be sent. A datagram that was sent may still be lost.
   bool send(Handle socket, const std::string& bytes);
   bool send_to(Handle socket, const Address& to, const std::string& bytes);
   void close(Handle socket);
@@ -43,21 +46,22 @@
  private:
   struct Socket {
     int descriptor = -1;
-    event* ready = nullptr;
-    DatagramUser* user = nullptr;
+    event* read_event = nullptr;
+    DatagramHandler* handler = nullptr;
     bool connected = false;
   };
-  struct Hook {
+  /// Argument of the read callback; lives as long as the socket.
+  struct CallbackContext {
     Datagrams* owner;
     Handle socket;
   };
-  Handle adopt(int descriptor, DatagramUser& user, bool connected);
+  Handle add_socket(int descriptor, DatagramHandler& handler, bool connected);
   void receive(Handle socket);
 
   event_base* base_;
   LogSink log_;
   SlotTable<Socket> table_;
-  std::map<Handle, std::unique_ptr<Hook>> hooks_;
+  std::map<Handle, std::unique_ptr<CallbackContext>> callback_contexts_;
   std::string buffer_;
 };
 
--- a/src/net/framing.cpp
+++ b/src/net/framing.cpp
@@ -2,29 +2,31 @@
 
 namespace heathturn {
 
-Framed next_line(evbuffer* in, std::size_t most, std::string& out) {
-  std::size_t feed = 0;
-  const auto found = evbuffer_search_eol(in, nullptr, &feed, EVBUFFER_EOL_LF);
-  // Guards against a peer that never ends its line: memory for it is bounded.
-  if (found.pos < 0) return evbuffer_get_length(in) > most ? Framed::over_long : Framed::none;
+FrameStatus next_line(evbuffer* in, std::size_t max_bytes, std::string& out) {
+  std::size_t line_feed_length = 0;
+  const auto found = evbuffer_search_eol(in, nullptr, &line_feed_length, EVBUFFER_EOL_LF);
+  // Guards against a peer that never ends its line: the memory for it stays bounded.
+  if (found.pos < 0)
+    return evbuffer_get_length(in) > max_bytes ? FrameStatus::over_long : FrameStatus::incomplete;
   const auto length = static_cast<std::size_t>(found.pos);
-  if (length > most) return Framed::over_long;
+  if (length > max_bytes) return FrameStatus::over_long;
   out.resize(length);
   evbuffer_remove(in, out.data(), length);
-  evbuffer_drain(in, feed);
-  return Framed::one;
+  evbuffer_drain(in, line_feed_length);
+  return FrameStatus::complete;
 }
 
-Framed next_counted(evbuffer* in, std::size_t width, std::size_t most, std::string& out) {
-  std::string head(width, '\0');
-  if (evbuffer_copyout(in, head.data(), width) < static_cast<ev_ssize_t>(width)) return Framed::none;
-  const auto length = big_endian(head, 0, width);
-  if (length > most) return Framed::over_long;
-  if (evbuffer_get_length(in) < width + length) return Framed::none;
+FrameStatus next_length_prefixed(evbuffer* in, std::size_t width, std::size_t max_bytes, std::string& out) {
+  std::string prefix(width, '\0');
+  if (evbuffer_copyout(in, prefix.data(), width) < static_cast<ev_ssize_t>(width))
+    return FrameStatus::incomplete;
+  const auto length = big_endian(prefix, 0, width);
+  if (length > max_bytes) return FrameStatus::over_long;
+  if (evbuffer_get_length(in) < width + length) return FrameStatus::incomplete;
   evbuffer_drain(in, width);
   out.resize(length);
   evbuffer_remove(in, out.data(), length);
-  return Framed::one;
+  return FrameStatus::complete;
 }
 
 std::uint64_t big_endian(const std::string& bytes, std::size_t at, std::size_t width) {
--- a/src/net/tls/context.cpp
+++ b/src/net/tls/context.cpp
@@ -22,31 +22,31 @@
 
 using maddershed::InputError;
 
-constexpr std::size_t most_pem = std::size_t{1} << 20;
-constexpr long most_chain_bytes = 32 * 1024;
-constexpr int most_chain_depth = 6;
-constexpr int security_level = 2;  // keys of 112 bits of strength: RSA and DH from 2048 bits on
-constexpr std::size_t pin_size = 32;
+constexpr std::size_t max_pem_bytes = std::size_t{1} << 20;
+constexpr long max_chain_bytes = 32 * 1024;
+constexpr int max_chain_depth = 6;
+constexpr int security_level = 2;  // at least 112 bits of strength: RSA and DH keys of 2048 bits
+constexpr std::size_t pin_bytes = 32;
 
 template <typename Type, void (*Free)(Type*)>
-struct Freeing {
-  void operator()(Type* each) const { Free(each); }
+struct OpensslDeleter {
+  void operator()(Type* object) const { Free(object); }
 };
-using Bio = std::unique_ptr<BIO, Freeing<BIO, BIO_free_all>>;
-using Certificate = std::unique_ptr<X509, Freeing<X509, X509_free>>;
-using Crl = std::unique_ptr<X509_CRL, Freeing<X509_CRL, X509_CRL_free>>;
-using Key = std::unique_ptr<EVP_PKEY, Freeing<EVP_PKEY, EVP_PKEY_free>>;
+using Bio = std::unique_ptr<BIO, OpensslDeleter<BIO, BIO_free_all>>;
+using Certificate = std::unique_ptr<X509, OpensslDeleter<X509, X509_free>>;
+using Crl = std::unique_ptr<X509_CRL, OpensslDeleter<X509_CRL, X509_CRL_free>>;
+using Key = std::unique_ptr<EVP_PKEY, OpensslDeleter<EVP_PKEY, EVP_PKEY_free>>;
 
 std::string openssl_error() {
   std::array<char, 256> text{};
   const auto error = ERR_get_error();
   ERR_clear_error();
-  if (error == 0) return "no reason given";
+  if (error == 0) return "no reason given by OpenSSL";
   ERR_error_string_n(error, text.data(), text.size());
   return text.data();
 }
 
-/// A text whose bytes are wiped when it goes.
+/// A string that is wiped from memory on destruction.
 struct Secret {
   std::string text;
   ~Secret() { OPENSSL_cleanse(text.data(), text.size()); }
@@ -54,7 +54,7 @@
 
 void read_pem(const std::string& path, std::string& text) {
   Diagnostics diagnostics;
-  if (!read_source_file(path, most_pem, text, {path, 0, 0, "tls", "", "", false}, diagnostics)) {
+  if (!read_source_file(path, max_pem_bytes, text, {path, 0, 0, "tls", "", "", false}, diagnostics)) {
     throw InputError(diagnostics.all().front().message + "; expected a PEM file");
   }
 }
@@ -78,30 +78,30 @@
   X509_NAME_print_ex(out.get(), name, 0, XN_FLAG_RFC2253);
   char* data = nullptr;
   const auto length = BIO_get_mem_data(out.get(), &data);
-  constexpr long most = 200;  // a peer may send a name of any length
-  return {data, static_cast<std::size_t>(std::min(length, most))};
+  constexpr long max_name_length = 200;  // a peer can send a name of any length
+  return {data, static_cast<std::size_t>(std::min(length, max_name_length))};
 }
 
-Shown shown_of(X509* certificate) {
+CertificateInfo certificate_info(X509* certificate) {
   return {name_text(X509_get_subject_name(certificate)), name_text(X509_get_issuer_name(certificate)),
           time_text(X509_get0_notBefore(certificate)), time_text(X509_get0_notAfter(certificate))};
 }
 
 void check_dates(X509* certificate, const std::string& path, double now) {
-  const double from = unix_ms(X509_get0_notBefore(certificate)),
-               to = unix_ms(X509_get0_notAfter(certificate));
-  if (now > to) {
-    throw InputError(path + ": its certificate of " + name_text(X509_get_subject_name(certificate)) +
+  const double not_before_ms = unix_ms(X509_get0_notBefore(certificate)),
+               not_after_ms = unix_ms(X509_get0_notAfter(certificate));
+  if (now > not_after_ms) {
+    throw InputError(path + ": the certificate of " + name_text(X509_get_subject_name(certificate)) +
                      " expired at " + time_text(X509_get0_notAfter(certificate)) +
                      "; expected one that is valid now");
   }
-  if (now < from) {
-    throw InputError(path + ": its certificate is not valid before " +
+  if (now < not_before_ms) {
+    throw InputError(path + ": the certificate is not valid before " +
                      time_text(X509_get0_notBefore(certificate)) + "; expected one that is valid now");
   }
 }
 
-std::vector<Certificate> certificates_of(const std::string& path, const std::string& text) {
+std::vector<Certificate> parse_certificates(const std::string& path, const std::string& text) {
   const Bio in(BIO_new_mem_buf(text.data(), static_cast<int>(text.size())));
   std::vector<Certificate> out;
   while (X509* each = PEM_read_bio_X509_AUX(in.get(), nullptr, nullptr, nullptr)) out.emplace_back(each);
@@ -109,8 +109,8 @@
   const bool at_end = ERR_GET_LIB(error) == ERR_LIB_PEM && ERR_GET_REASON(error) == PEM_R_NO_START_LINE;
   if (out.empty() || (error != 0 && !at_end)) {
     throw InputError(path + ": " +
-                     (out.empty() ? "it holds no certificate" : "one of its certificates is broken") + " (" +
-                     openssl_error() + "); expected certificates in PEM");
+                     (out.empty() ? "it holds no certificate" : "one of its certificates cannot be parsed") +
+                     " (" + openssl_error() + "); expected certificates in PEM");
   }
   ERR_clear_error();
   return out;
@@ -121,11 +121,11 @@
   return index;
 }
 
-Context::Connection* connection_of(const SSL* ssl) {
-  return static_cast<Context::Connection*>(SSL_get_ex_data(ssl, connection_index()));
+Context::ConnectionState* connection_of(const SSL* ssl) {
+  return static_cast<Context::ConnectionState*>(SSL_get_ex_data(ssl, connection_index()));
 }
 
-const char* reason_of_verify(int error) {
+const char* reason_for_verify_error(int error) {
   switch (error) {
     case X509_V_ERR_CERT_HAS_EXPIRED:
       return reason::expired;
@@ -171,29 +171,29 @@
 }
 
 std::string parse_pin(const std::string& text) {
-  constexpr std::string_view before = "sha256/";
-  constexpr std::size_t base64_size = 44;
-  if (!text.starts_with(before) || text.size() != before.size() + base64_size) return "";
+  constexpr std::string_view prefix = "sha256/";
+  constexpr std::size_t base64_length = 44;
+  if (!text.starts_with(prefix) || text.size() != prefix.size() + base64_length) return "";
   std::array<unsigned char, 48> out{};
-  const auto* from = reinterpret_cast<const unsigned char*>(text.data() + before.size());
-  const int length = EVP_DecodeBlock(out.data(), from, base64_size);
-  // 44 characters are 33 bytes, the last of which is padding.
-  if (length != static_cast<int>(pin_size) + 1 || text.back() != '=') return "";
-  return {out.begin(), out.begin() + pin_size};
+  const auto* from = reinterpret_cast<const unsigned char*>(text.data() + prefix.size());
+  const int length = EVP_DecodeBlock(out.data(), from, base64_length);
+  // 44 characters decode to 33 bytes, the last of which is padding.
+  if (length != static_cast<int>(pin_bytes) + 1 || text.back() != '=') return "";
+  return {out.begin(), out.begin() + pin_bytes};
 }
 
-// ---- Sessions ---------------------------------------------------------------------------------------------
+// ---- Session cache ----------------------------------------------------------------------------------------
 
-void Sessions::keep(std::uint32_t id, SSL_SESSION* session) {
-  if (!sessions_.contains(id) && sessions_.size() >= most) drop(sessions_.begin()->first);
+void SessionCache::add(std::uint32_t id, SSL_SESSION* session) {
+  if (!sessions_.contains(id) && sessions_.size() >= max_converters) remove(sessions_.begin()->first);
   auto& list = sessions_[id];
   list.insert(list.begin(), session);
-  if (list.size() <= most_each) return;
+  if (list.size() <= max_sessions_per_converter) return;
   SSL_SESSION_free(list.back());
   list.pop_back();
 }
 
-SSL_SESSION* Sessions::take(std::uint32_t id) {
+SSL_SESSION* SessionCache::take(std::uint32_t id) {
   const auto it = sessions_.find(id);
   if (it == sessions_.end()) return nullptr;
   auto* out = it->second.front();
@@ -202,74 +202,74 @@
   return out;
 }
 
-void Sessions::drop(std::uint32_t id) {
+void SessionCache::remove(std::uint32_t id) {
   const auto it = sessions_.find(id);
   if (it == sessions_.end()) return;
   for (auto* each : it->second) SSL_SESSION_free(each);
   sessions_.erase(it);
 }
 
-void Sessions::clear() {
-  while (!sessions_.empty()) drop(sessions_.begin()->first);
+void SessionCache::clear() {
+  while (!sessions_.empty()) remove(sessions_.begin()->first);
 }
 
 // ---- Context ----------------------------------------------------------------------------------------------
 
 Context::Context(const TlsConfig& config, double now)
     : config_(config), context_(SSL_CTX_new(TLS_client_method()), SSL_CTX_free) {
-  if (context_ == nullptr) throw InputError("no TLS context can be had: " + openssl_error());
+  if (context_ == nullptr) throw InputError("cannot create a TLS context: " + openssl_error());
   auto* context = context_.get();
   SSL_CTX_set_min_proto_version(context, config_.tls13_only ? TLS1_3_VERSION : TLS1_2_VERSION);
   SSL_CTX_set_options(context, SSL_OP_NO_RENEGOTIATION | SSL_OP_NO_COMPRESSION);
   SSL_CTX_set_security_level(context, security_level);
-  // Bounds what a peer can make this side hold before it is known to be the right one.
-  SSL_CTX_set_max_cert_list(context, most_chain_bytes);
-  SSL_CTX_set_verify_depth(context, most_chain_depth);
+  // Bounds the memory and work that a peer can cause before it is verified.
+  SSL_CTX_set_max_cert_list(context, max_chain_bytes);
+  SSL_CTX_set_verify_depth(context, max_chain_depth);
   SSL_CTX_set_mode(context, SSL_MODE_RELEASE_BUFFERS);
   SSL_CTX_set_session_cache_mode(context, SSL_SESS_CACHE_CLIENT | SSL_SESS_CACHE_NO_INTERNAL);
-  SSL_CTX_sess_set_new_cb(context, on_session);
+  SSL_CTX_sess_set_new_cb(context, on_new_session);
   for (const auto& each : config_.alpn) alpn_ += static_cast<char>(each.size()) + each;
   if (!alpn_.empty()) {
     SSL_CTX_set_alpn_protos(context, reinterpret_cast<const unsigned char*>(alpn_.data()),
                             static_cast<unsigned>(alpn_.size()));
   }
   SSL_CTX_set_verify(context, config_.verify ? SSL_VERIFY_PEER : SSL_VERIFY_NONE, on_verify);
-  load_trust();
-  load_own(now);
+  load_trusted_certificates();
+  load_own_certificate(now);
   load_crl();
 }
 
 Context::~Context() = default;
 
-void Context::load_trust() {
+void Context::load_trusted_certificates() {
   X509_STORE* store = SSL_CTX_get_cert_store(context_.get());
   for (const auto& path : config_.trust) {
     std::string text;
     read_pem(path, text);
-    digest_ += text;
-    for (const auto& each : certificates_of(path, text)) {
+    file_contents_ += text;
+    for (const auto& each : parse_certificates(path, text)) {
       X509_STORE_add_cert(store, each.get());
-      held_.push_back({path, unix_ms(X509_get0_notAfter(each.get()))});
+      expiries_.push_back({path, unix_ms(X509_get0_notAfter(each.get()))});
     }
   }
 }
 
-void Context::load_own(double now) {
+void Context::load_own_certificate(double now) {
   if (config_.certificate.empty()) return;
   std::string text;
   read_pem(config_.certificate, text);
-  digest_ += text;
-  const auto chain = certificates_of(config_.certificate, text);
+  file_contents_ += text;
+  const auto chain = parse_certificates(config_.certificate, text);
   check_dates(chain.front().get(), config_.certificate, now);
-  held_.push_back({config_.certificate, unix_ms(X509_get0_notAfter(chain.front().get()))});
-  struct stat found {};
-  if (::stat(config_.key.c_str(), &found) == 0 && (found.st_mode & 077U) != 0) {
+  expiries_.push_back({config_.certificate, unix_ms(X509_get0_notAfter(chain.front().get()))});
+  struct stat key_status {};
+  if (::stat(config_.key.c_str(), &key_status) == 0 && (key_status.st_mode & 077U) != 0) {
     throw InputError(config_.key + ": others than its owner may use this key; expected mode 0600");
   }
   Secret secret;
   read_pem(config_.key, secret.text);
   const Bio in(BIO_new_mem_buf(secret.text.data(), static_cast<int>(secret.text.size())));
-  // A key under a passphrase is told of as broken: nobody is there to type it.
+  // A key with a passphrase is rejected as unusable: no operator is present to type the passphrase.
   const Key key(PEM_read_bio_PrivateKey(
       in.get(), nullptr, [](char*, int, int, void*) { return 0; }, nullptr));
   if (key == nullptr)
@@ -277,14 +277,14 @@
   if (X509_check_private_key(chain.front().get(), key.get()) != 1) {
     ERR_clear_error();
     throw InputError(config_.key + ": the key does not match the certificate in " + config_.certificate +
-                     "; expected the key that it was made with");
+                     "; expected the key that it was issued for");
   }
   auto* context = context_.get();
-  bool good = SSL_CTX_use_certificate(context, chain.front().get()) == 1 &&
-              SSL_CTX_use_PrivateKey(context, key.get()) == 1;
-  for (std::size_t i = 1; good && i < chain.size(); ++i)
-    good = SSL_CTX_add1_chain_cert(context, chain[i].get()) == 1;
-  if (!good)
+  bool usable = SSL_CTX_use_certificate(context, chain.front().get()) == 1 &&
+                SSL_CTX_use_PrivateKey(context, key.get()) == 1;
+  for (std::size_t i = 1; usable && i < chain.size(); ++i)
+    usable = SSL_CTX_add1_chain_cert(context, chain[i].get()) == 1;
+  if (!usable)
     throw InputError(config_.certificate + ": it cannot be used (" + openssl_error() +
                      "); expected a strong key");
 }
@@ -293,14 +293,14 @@
   if (config_.crl.empty()) return;
   std::string text;
   read_pem(config_.crl, text);
-  digest_ += text;
+  file_contents_ += text;
   X509_STORE* store = SSL_CTX_get_cert_store(context_.get());
   const Bio in(BIO_new_mem_buf(text.data(), static_cast<int>(text.size())));
   int count = 0;
   while (X509_CRL* each = PEM_read_bio_X509_CRL(in.get(), nullptr, nullptr, nullptr)) {
     const Crl crl(each);
     X509_STORE_add_crl(store, crl.get());
-    held_.push_back({config_.crl, unix_ms(X509_CRL_get0_nextUpdate(crl.get()))});
+    expiries_.push_back({config_.crl, unix_ms(X509_CRL_get0_nextUpdate(crl.get()))});
     ++count;
   }
   ERR_clear_error();
@@ -308,30 +308,30 @@
   X509_STORE_set_flags(store, X509_V_FLAG_CRL_CHECK);
 }
 
-SSL* Context::open(Connection& connection, const Address& to, bool& offered) {
+SSL* Context::create_ssl(ConnectionState& connection, const Address& to, bool& session_offered) {
   SSL* ssl = SSL_new(context_.get());
   if (ssl == nullptr) return nullptr;
   connection.context = this;
   SSL_set_ex_data(ssl, connection_index(), &connection);
   if (config_.verify) {
-    auto* wanted = SSL_get0_param(ssl);
+    auto* verify_params = SSL_get0_param(ssl);
     if (config_.name.empty()) {
       const auto text = to.text();
-      X509_VERIFY_PARAM_set1_ip_asc(wanted, text.substr(0, text.find(':')).c_str());
-    } else if (X509_VERIFY_PARAM_set1_ip_asc(wanted, config_.name.c_str()) != 1) {
-      X509_VERIFY_PARAM_set1_host(wanted, config_.name.data(), config_.name.size());
-      X509_VERIFY_PARAM_set_hostflags(wanted, X509_CHECK_FLAG_NO_PARTIAL_WILDCARDS);
+      X509_VERIFY_PARAM_set1_ip_asc(verify_params, text.substr(0, text.find(':')).c_str());
+    } else if (X509_VERIFY_PARAM_set1_ip_asc(verify_params, config_.name.c_str()) != 1) {
+      X509_VERIFY_PARAM_set1_host(verify_params, config_.name.data(), config_.name.size());
+      X509_VERIFY_PARAM_set_hostflags(verify_params, X509_CHECK_FLAG_NO_PARTIAL_WILDCARDS);
       SSL_set_tlsext_host_name(ssl, config_.name.c_str());
     }
     ERR_clear_error();
   }
-  offered = false;
+  session_offered = false;
   if (auto* session = sessions_.take(connection.id); session != nullptr) {
-    offered = SSL_SESSION_is_resumable(session) == 1 && SSL_set_session(ssl, session) == 1;
-    // A ticket of TLS 1.3 is for one use, after which others come; before it, one serves until it is
-    // declined.
-    if (offered && SSL_SESSION_get_protocol_version(session) < TLS1_3_VERSION) {
-      sessions_.keep(connection.id, session);
+    session_offered = SSL_SESSION_is_resumable(session) == 1 && SSL_set_session(ssl, session) == 1;
+    // A TLS 1.3 ticket is for one use, and the server sends new ones; a TLS 1.2 session can be offered until
+    // the server declines it.
+    if (session_offered && SSL_SESSION_get_protocol_version(session) < TLS1_3_VERSION) {
+      sessions_.add(connection.id, session);
     } else {
       SSL_SESSION_free(session);
     }
@@ -339,61 +339,62 @@
   return ssl;
 }
 
-/// Notes the first thing that is wrong, and whose certificate it was.
-int Context::on_verify(int good, X509_STORE_CTX* store) {
+/// Records the first verification error and the certificate that it concerns.
+int Context::on_verify(int preverified, X509_STORE_CTX* store) {
   auto* ssl = static_cast<SSL*>(X509_STORE_CTX_get_ex_data(store, SSL_get_ex_data_X509_STORE_CTX_idx()));
   auto* connection = connection_of(ssl);
   if (connection == nullptr) return 0;
   X509* certificate = X509_STORE_CTX_get_current_cert(store);
-  if (certificate != nullptr && (good == 0 || X509_STORE_CTX_get_error_depth(store) == 0)) {
-    connection->shown = shown_of(certificate);
-    connection->shown_not_after = unix_ms(X509_get0_notAfter(certificate));
+  if (certificate != nullptr && (preverified == 0 || X509_STORE_CTX_get_error_depth(store) == 0)) {
+    connection->peer_certificate = certificate_info(certificate);
+    connection->peer_not_after_ms = unix_ms(X509_get0_notAfter(certificate));
   }
-  if (good == 0 && connection->refused == nullptr) {
-    connection->refused = reason_of_verify(X509_STORE_CTX_get_error(store));
+  if (preverified == 0 && connection->refusal_reason == nullptr) {
+    connection->refusal_reason = reason_for_verify_error(X509_STORE_CTX_get_error(store));
   }
-  return good;
+  return preverified;
 }
 
-int Context::on_session(SSL* ssl, SSL_SESSION* session) {
+int Context::on_new_session(SSL* ssl, SSL_SESSION* session) {
   auto* connection = connection_of(ssl);
-  if (connection == nullptr || connection->refused != nullptr || SSL_SESSION_is_resumable(session) != 1)
+  if (connection == nullptr || connection->refusal_reason != nullptr ||
+      SSL_SESSION_is_resumable(session) != 1)
     return 0;
-  connection->context->sessions_.keep(connection->id, session);
+  connection->context->sessions_.add(connection->id, session);
   return 1;
 }
 
-const char* Context::accept(SSL* ssl, Connection& connection) {
+const char* Context::verify_peer(SSL* ssl, ConnectionState& connection) {
   const auto& config = connection.context->config_;
-  connection.done = true;
+  connection.handshake_done = true;
   const Certificate certificate(SSL_get1_peer_certificate(ssl));
   if (certificate != nullptr) {
-    connection.shown = shown_of(certificate.get());
-    connection.shown_not_after = unix_ms(X509_get0_notAfter(certificate.get()));
+    connection.peer_certificate = certificate_info(certificate.get());
+    connection.peer_not_after_ms = unix_ms(X509_get0_notAfter(certificate.get()));
   }
-  // A session that was taken up again shows what was verified when it began; time has gone on since then.
+  // A resumed session carries the certificate that was verified when it began, which may have expired since.
   if (config.verify && certificate != nullptr &&
       X509_cmp_current_time(X509_get0_notAfter(certificate.get())) < 0) {
-    return connection.refused = reason::expired;
+    return connection.refusal_reason = reason::expired;
   }
   if (!config.pins.empty()) {
     const auto pin = certificate == nullptr ? std::string() : public_key_pin(certificate.get());
     if (std::find(config.pins.begin(), config.pins.end(), pin) == config.pins.end()) {
-      return connection.refused = reason::wrong_pin;
+      return connection.refusal_reason = reason::wrong_pin;
     }
   }
   if (!config.alpn.empty()) {
-    const unsigned char* chosen = nullptr;
+    const unsigned char* protocol = nullptr;
     unsigned length = 0;
-    SSL_get0_alpn_selected(ssl, &chosen, &length);
-    if (length == 0) return connection.refused = reason::no_alpn;
+    SSL_get0_alpn_selected(ssl, &protocol, &length);
+    if (length == 0) return connection.refusal_reason = reason::no_alpn;
   }
   return nullptr;
 }
 
-const char* Context::reason_of(SSL*, const Connection& connection, unsigned long error) {
-  if (connection.refused != nullptr) return connection.refused;
-  if (error == 0) return connection.done ? nullptr : reason::broken_off;
+const char* Context::failure_reason(SSL*, const ConnectionState& connection, unsigned long error) {
+  if (connection.refusal_reason != nullptr) return connection.refusal_reason;
+  if (error == 0) return connection.handshake_done ? nullptr : reason::broken_off;
   switch (ERR_GET_REASON(error)) {
     case SSL_R_WRONG_VERSION_NUMBER:
     case SSL_R_HTTP_REQUEST:
@@ -414,11 +415,11 @@
     case SSL_R_TLSV1_ALERT_NO_APPLICATION_PROTOCOL:
       return reason::no_alpn;
     case SSL_R_UNEXPECTED_EOF_WHILE_READING:
-      return connection.done ? nullptr : reason::broken_off;
+      return connection.handshake_done ? nullptr : reason::broken_off;
     default:
       break;
   }
-  // 1000 and above: alerts of the peer.
+  // OpenSSL numbers the alerts received from the peer from 1000.
   return ERR_GET_REASON(error) >= 1000 ? reason::alert : reason::failed;
 }
 
--- a/src/net/tls/context.hpp
+++ b/src/net/tls/context.hpp
@@ -1,5 +1,6 @@
-// TLS towards one pool: certificates checked whole before they are taken, what a peer shows verified, and
-// each way in which it may fail named. On OpenSSL; the connections are libevent's own TLS bufferevents.
+// The client side of TLS for one pool of converters: files read, peers verified, sessions cached for
+// resumption, and each kind of failure mapped to a reason code. On OpenSSL; the connections use libevent's
+// TLS bufferevents.
 #pragma once
 
 #include <openssl/ssl.h>
@@ -14,7 +15,7 @@
 
 namespace heathturn::tls {
 
-/// What a TLS connection ended by, as the log names it.
+/// Reason codes for the end of a TLS connection, as written to the log.
 namespace reason {
 inline constexpr const char* expired = "tls_expired";
 inline constexpr const char* not_yet_valid = "tls_not_yet_valid";
@@ -36,90 +37,99 @@
 inline constexpr const char* failed = "tls_failed";
 }  // namespace reason
 
-/// A peer's certificate, for the log.
-struct Shown {
+/// What the log shows of a peer's certificate. Times are in UTC, ISO 8601.
+struct CertificateInfo {
   std::string subject, issuer, not_before, not_after;
 };
 
-/// A certificate that ends soon, or has.
+/// When a certificate or revocation list expires.
 struct Expiry {
-  std::string what;      ///< a file's path, or a converter's name
-  double not_after = 0;  ///< Unix ms
+  std::string source;       ///< path of the file, or name of the converter
+  double not_after_ms = 0;  ///< Unix ms
 };
 
-/// Sessions to resume, each for one converter id, newest first. Bounded; an id that another has taken over
-/// the address of brings nothing along.
-class Sessions {
+/// Sessions for resumption by converter id, newest first. Of bounded size. A session is never offered to
+/// another converter, even if that has taken over the address.
+class SessionCache {
  public:
-  static constexpr std::size_t most = 1024, most_each = 2;
-  ~Sessions() { clear(); }
-  Sessions() = default;
-  Sessions(const Sessions&) = delete;
-  Sessions& operator=(const Sessions&) = delete;
-
-  void keep(std::uint32_t id, SSL_SESSION* session);
-  /// Takes one out: a ticket of TLS 1.3 should be used once. The caller frees it; null when there is none.
+  static constexpr std::size_t max_converters = 1024, max_sessions_per_converter = 2;
+  ~SessionCache() { clear(); }
+  SessionCache() = default;
+  SessionCache(const SessionCache&) = delete;
+  SessionCache& operator=(const SessionCache&) = delete;
+
+  /// Takes ownership of the session.
+  void add(std::uint32_t id, SSL_SESSION* session);
+  /// Removes and returns the newest session, as a TLS 1.3 ticket should be used once; null if there is none.
+  /// The caller owns it.
   [[nodiscard]] SSL_SESSION* take(std::uint32_t id);
   [[nodiscard]] bool has(std::uint32_t id) const { return sessions_.contains(id); }
-  void drop(std::uint32_t id);
+  void remove(std::uint32_t id);
   void clear();
+  /// Number of converters with a session.
   [[nodiscard]] std::size_t size() const { return sessions_.size(); }
 
  private:
   std::map<std::uint32_t, std::vector<SSL_SESSION*>> sessions_;
 };
 
+/// The TLS settings of one pool, loaded into an SSL_CTX, with its session cache.
 class Context {
  public:
-  /// Reads and checks every file: key matches certificate, certificates parse and are valid now, key is
-  /// nobody else's to read. Throws InputError naming the file and the fault. May run on any thread.
+  /// Reads and checks all files: the key matches the certificate, certificates parse, the own certificate is
+  /// valid at `now` (Unix ms), and only the owner may access the key. Throws InputError naming the file and
+  /// the fault. May run on any thread.
   Context(const TlsConfig& config, double now);
   ~Context();
   Context(const Context&) = delete;
   Context& operator=(const Context&) = delete;
 
-  /// State of one connection, from its making to its end.
-  struct Connection {
+  /// State of one connection, from create_ssl() to its end.
+  struct ConnectionState {
     Context* context = nullptr;
-    std::uint32_t id = 0;
+    std::uint32_t id = 0;  ///< of the converter
     std::string name;
-    const char* refused = nullptr;  ///< why the peer was not accepted, if it was not
-    Shown shown;
-    double shown_not_after = 0;
-    bool done = false;  ///< the handshake came to its end
+    const char* refusal_reason = nullptr;  ///< reason code; null while the peer has not been rejected
+    CertificateInfo peer_certificate;
+    double peer_not_after_ms = 0;
+    bool handshake_done = false;
   };
-  /// A connection to a converter; a session of its own is offered where there is one. `connection` lives as
-  /// long as the SSL does. The caller owns the result.
-  [[nodiscard]] SSL* open(Connection& connection, const Address& to, bool& offered);
-  /// After the handshake: null, or why the connection must not be used.
-  [[nodiscard]] static const char* accept(SSL* ssl, Connection& connection);
-  /// Why a handshake, or a connection after it, ended with an error. `error`: of OpenSSL, 0 for none.
-  [[nodiscard]] static const char* reason_of(SSL* ssl, const Connection& connection, unsigned long error);
-
-  [[nodiscard]] Sessions& sessions() { return sessions_; }
+  /// Creates the SSL of a connection to a converter, which offers a cached session if there is one.
+  /// `connection` must live as long as the SSL, which the caller owns. Null if OpenSSL cannot create it.
+  [[nodiscard]] SSL* create_ssl(ConnectionState& connection, const Address& to, bool& session_offered);
+  /// Checks after the handshake that the connection may be used: expiry, pin and ALPN. Returns null, or a
+  /// reason code.
+  [[nodiscard]] static const char* verify_peer(SSL* ssl, ConnectionState& connection);
+  /// Reason code for a handshake or connection that ended with `error`, OpenSSL's error code or 0. Null if it
+  /// is not a TLS failure.
+  [[nodiscard]] static const char* failure_reason(SSL* ssl, const ConnectionState& connection,
+                                                  unsigned long error);
+
+  [[nodiscard]] SessionCache& sessions() { return sessions_; }
   [[nodiscard]] const TlsConfig& config() const { return config_; }
-  [[nodiscard]] const std::vector<Expiry>& held() const { return held_; }
-  /// The digest of all that was read: another one is another trust.
-  [[nodiscard]] const std::string& digest() const { return digest_; }
+  /// Expiry of each certificate and revocation list that was read.
+  [[nodiscard]] const std::vector<Expiry>& expiries() const { return expiries_; }
+  /// Contents of all files that were read except the key; a context with other contents must not be reused.
+  [[nodiscard]] const std::string& file_contents() const { return file_contents_; }
 
  private:
-  static int on_verify(int good, X509_STORE_CTX* store);
-  static int on_session(SSL* ssl, SSL_SESSION* session);
-  void load_trust();
-  void load_own(double now);
+  static int on_verify(int preverified, X509_STORE_CTX* store);
+  static int on_new_session(SSL* ssl, SSL_SESSION* session);
+  void load_trusted_certificates();
+  void load_own_certificate(double now);
   void load_crl();
 
   TlsConfig config_;
   std::unique_ptr<SSL_CTX, void (*)(SSL_CTX*)> context_;
-  std::string alpn_;  ///< as on the wire
-  std::vector<Expiry> held_;
-  std::string digest_;
-  Sessions sessions_;
+  std::string alpn_;  ///< in wire format, each name after its length
+  std::vector<Expiry> expiries_;
+  std::string file_contents_;
+  SessionCache sessions_;
 };
 
 /// SHA-256 of a certificate's public key (SubjectPublicKeyInfo, RFC 7858 section 4.2), 32 bytes.
 [[nodiscard]] std::string public_key_pin(X509* certificate);
-/// "sha256/BASE64" as 32 bytes; empty when it is none.
+/// Decodes a pin of the form "sha256/BASE64" to 32 bytes; empty if it is invalid.
 [[nodiscard]] std::string parse_pin(const std::string& text);
 
 }  // namespace heathturn::tls
--- a/src/net/tls/tls_config.hpp
+++ b/src/net/tls/tls_config.hpp
@@ -1,4 +1,4 @@
-// What is set of TLS towards the members of one pool, as the operator's file says.
+// TLS settings for the connections to the members of one pool, from the operator's configuration file.
 #pragma once
 
 #include <cstdint>
@@ -7,18 +7,19 @@
 
 namespace heathturn::tls {
 
+/// TLS settings of one pool of converters.
 struct TlsConfig {
-  std::vector<std::string> trust;  ///< PEM files with the authorities that are trusted
-  std::string name;                ///< that the certificate must carry; empty: the member's IP address
-  std::vector<std::string> pins;   ///< SHA-256 of public keys, 32 bytes each; empty: any key
-  std::string certificate, key;    ///< PEM files for mutual TLS; empty: none
-  std::string crl;                 ///< PEM file of revocation lists; empty: none
-  std::vector<std::string> alpn;   ///< offered, one of which must be agreed on; empty: none
+  std::vector<std::string> trust;  ///< PEM files with the trusted authorities
+  std::string name;  ///< DNS name or IP address in the certificate; empty: the member's IP address
+  std::vector<std::string> pins;  ///< SHA-256 of accepted public keys, 32 bytes each; empty: any key
+  std::string certificate, key;   ///< PEM files for mutual TLS; empty: none
+  std::string crl;                ///< PEM file with revocation lists; empty: none
+  std::vector<std::string> alpn;  ///< protocols offered, one of which must be negotiated; empty: none
   bool tls13_only = false;
   bool verify = true;
-  double handshake_ms = 2000;
-  double most_age_ms = 0;         ///< of a connection; 0: any
-  std::uint32_t connections = 2;  ///< to one member
+  double handshake_timeout_ms = 2000;
+  double max_connection_age_ms = 0;  ///< connections are replaced at this age; 0: no limit
+  std::uint32_t connections_per_member = 2;
   bool operator==(const TlsConfig&) const = default;
 };
 
--- a/src/platform/caller_frontend.cpp
+++ b/src/platform/caller_frontend.cpp
@@ -49,10 +49,10 @@
 
 void CallerFrontend::listen() { listener_ = net_.listen(config_.listen, *this, "caller", listener_limits()); }
 
-Connections::Bounds CallerFrontend::listener_limits() const {
-  return {.connections = config_.max_sockets / 2,
-          .requests = max_requests_per_connection,
-          .first_message_ms = first_message_timeout_ms};
+Connections::Limits CallerFrontend::listener_limits() const {
+  return {.max_connections = config_.max_sockets / 2,
+          .max_open_requests = max_requests_per_connection,
+          .first_message_timeout_ms = first_message_timeout_ms};
 }
 
 // ---- Connections ----------------------------------------------------------------------------------------
@@ -80,7 +80,7 @@
 }
 
 void CallerFrontend::on_input(Handle connection, evbuffer* in) {
-  net_.each_line(connection, in, max_line_bytes, [this, connection](const std::string& line) {
+  net_.read_lines(connection, in, max_line_bytes, [this, connection](const std::string& line) {
     on_message(connection, parse_message(line));
   });
 }
@@ -132,14 +132,14 @@
     case Op::group:
       break;
   }
-  throw Unreadable{reason::unknown_op};  // callers do not send these
+  throw ProtocolError{reason::unknown_op};  // callers do not send these
 }
 
 void CallerFrontend::on_offer(Handle connection, const Message& message) {
   if (const auto it = requests_by_call_id_.find(message.call_id); it != requests_by_call_id_.end()) {
     // Each set-up has a new call id. An offer that reuses the id of an open call must neither get that call's
     // answer nor change the call.
-    if (requests_[it->second].connection == connection) throw Unreadable{reason::malformed};
+    if (requests_[it->second].connection == connection) throw ProtocolError{reason::malformed};
     return refuse_invalid_offer(connection, message.call_id);
   }
   auto request = parse_offer(message);
@@ -216,7 +216,7 @@
   send_refusal(connection, call_id, cause::error, 0);
   const auto it = connections_.find(connection);
   if (it != connections_.end() && ++it->second.invalid_offers >= max_invalid_offers)
-    throw Unreadable{reason::malformed};
+    throw ProtocolError{reason::malformed};
 }
 
 void CallerFrontend::on_end_message(Handle connection, const Message& message) {
--- a/src/platform/caller_frontend.hpp
+++ b/src/platform/caller_frontend.hpp
@@ -31,14 +31,14 @@
 
 /// Serves the callers' connections. An established call outlives the connection that it was offered on; its
 /// release may be sent on any connection.
-class CallerFrontend : public Frontend, public ConnectionUser {
+class CallerFrontend : public Frontend, public ConnectionHandler {
  public:
   CallerFrontend(Clock& clock, TimerQueue& timers, Connections& net, Router& router,
                  const PlatformConfig& config);
   /// Throws std::runtime_error when the configured address cannot be bound.
   void listen();
   /// Applies the limits of the current configuration to new connections.
-  void update_limits() { net_.set_bounds(listener_, listener_limits()); }
+  void update_limits() { net_.set_limits(listener_, listener_limits()); }
   /// The result of the check answers the platform's readiness tests.
   void set_readiness_check(std::function<bool()> is_ready) { is_ready_ = std::move(is_ready); }
   /// The handler gets the id of a released call that this process has no record of.
@@ -90,7 +90,7 @@
   void on_message(Handle connection, const Message& message);
   void on_offer(Handle connection, const Message& message);
   void on_end_message(Handle connection, const Message& message);
-  [[nodiscard]] Connections::Bounds listener_limits() const;
+  [[nodiscard]] Connections::Limits listener_limits() const;
   void send_refusal(Handle connection, const std::string& call_id, int cause_code, double wait_ms);
   void reject_request(Handle request, int cause_code, double wait_ms);
   void release_call(const std::string& call_id, int cause_code, Handle preferred);
--- a/src/platform/converter_backend.cpp
+++ b/src/platform/converter_backend.cpp
@@ -4,7 +4,7 @@
 #include <cmath>
 #include <cstdio>
 
-#include "net/tls/ending.hpp"
+#include "net/tls/handshake_outcome.hpp"
 
 namespace heathturn {
 
@@ -159,7 +159,8 @@
     peer.connections[index].admitted_kind = decision.kind;
     peer.connections[index].started_at_ms = now_ms;
     bool offered = false;
-    return net_.connect(peer.converter.address, *this, "converter", tls_context_->config().handshake_ms,
+    return net_.connect(peer.converter.address, *this, "converter",
+                        tls_context_->config().handshake_timeout_ms,
                         {tls_context_, id.value, peer.converter.name}, offered);
   }
   connect_at(peer, index, decision.retry_at_ms);
@@ -232,7 +233,7 @@
     const auto& state = peer.connections[location.index];
     const double now_ms = clock_.now_ms();
     admission_->handshake_finished(location.exchange, now_ms, state.admitted_kind,
-                                   handshakes::Outcome::established, net_.resumed(connection),
+                                   handshakes::Outcome::established, net_.session_resumed(connection),
                                    now_ms - state.started_at_ms);
   }
   peer.connections[location.index].open = true;
@@ -256,7 +257,7 @@
       admission_->connection_closed(location.exchange, now_ms, std::string_view(end_reason) == reason::reset);
     } else {
       admission_->handshake_finished(location.exchange, now_ms, state.admitted_kind,
-                                     tls::ending_of(end_reason), false, now_ms - state.started_at_ms);
+                                     tls::handshake_outcome(end_reason), false, now_ms - state.started_at_ms);
     }
   }
   peer.connections[location.index] = {};
@@ -306,8 +307,8 @@
   state.received_any = true;
   state.last_received_ms = clock_.now_ms();
   state.test_sent_at_ms = 0;
-  net_.each_line(connection, in, max_line_bytes,
-                 [&](const std::string& line) { on_message(peer, connection, parse_message(line)); });
+  net_.read_lines(connection, in, max_line_bytes,
+                  [&](const std::string& line) { on_message(peer, connection, parse_message(line)); });
 }
 
 /// Runs the periodic checks of one converter. Detects a machine that vanished or a single dead connection,
@@ -363,7 +364,7 @@
   }
   if (tls_context_) {
     admission_->remove_converter(id);
-    tls_context_->sessions().drop(id.value);
+    tls_context_->sessions().remove(id.value);
   }
   peers_.erase(id);
 }
@@ -512,7 +513,7 @@
                                        elapsed_ms);
     }
     case Op::accept: {
-      if (!message.description) throw Unreadable{reason::malformed};
+      if (!message.description) throw ProtocolError{reason::malformed};
       const auto it = peer.attempts.find(message.call_id);
       if (it != peer.attempts.end()) return router_.attempt_succeeded(it->second, *message.description);
       // No request waits for it: it crossed the release of an abandoned attempt, or this process restarted.
@@ -524,7 +525,7 @@
     case Op::test:
       break;
   }
-  throw Unreadable{reason::unknown_op};  // converters do not send these
+  throw ProtocolError{reason::unknown_op};  // converters do not send these
 }
 
 void ConverterBackend::on_end_message(Peer& peer, Handle connection, const Message& message) {
--- a/src/platform/converter_backend.hpp
+++ b/src/platform/converter_backend.hpp
@@ -21,7 +21,7 @@
 namespace heathturn {
 
 /// Sends attempts to the platform's converters and watches the state of their connections.
-class ConverterBackend : public Backend, public ConnectionUser {
+class ConverterBackend : public Backend, public ConnectionHandler {
  public:
   ConverterBackend(Clock& clock, TimerQueue& timers, Connections& net, Router& router,
                    const PlatformConfig& config);
--- a/src/platform/event_bus_client.cpp
+++ b/src/platform/event_bus_client.cpp
@@ -55,12 +55,12 @@
 }
 
 void EventBusClient::on_input(Handle connection, evbuffer* in) {
-  net_.each_counted(connection, in, 4, max_frame_bytes, [this](const std::string& frame) {
+  net_.read_length_prefixed(connection, in, 4, max_frame_bytes, [this](const std::string& frame) {
     // Only a frame resets the delay: a bus that accepts connections and then fails must not be polled in a
     // tight loop.
     reconnect_delay_ms_ = 0;
     restart_silence_timer();
-    if (!process_frame(frame)) throw Unreadable{reason::malformed};
+    if (!process_frame(frame)) throw ProtocolError{reason::malformed};
   });
 }
 
--- a/src/platform/event_bus_client.hpp
+++ b/src/platform/event_bus_client.hpp
@@ -12,7 +12,7 @@
 
 /// Subscribes to the event bus, reconnects when the connection ends or falls silent, and continues after the
 /// last event received.
-class EventBusClient : public ConnectionUser {
+class EventBusClient : public ConnectionHandler {
  public:
   /// Gets the converters of an event: all of them in a snapshot, otherwise the changed ones.
   using ListHandler = std::function<void(const std::vector<Converter>&, bool is_snapshot)>;
--- a/src/platform/message.cpp
+++ b/src/platform/message.cpp
@@ -72,39 +72,39 @@
   rapidjson::Document json;
   // Iterative, so that thousands of nested brackets cannot overflow the stack.
   json.Parse<rapidjson::kParseIterativeFlag>(line.data(), line.size());
-  if (json.HasParseError() || !json.IsObject()) throw Unreadable{reason::malformed};
+  if (json.HasParseError() || !json.IsObject()) throw ProtocolError{reason::malformed};
   Message message;
   const auto op = json.FindMember("op");
-  if (op == json.MemberEnd() || !op->value.IsString()) throw Unreadable{reason::malformed};
+  if (op == json.MemberEnd() || !op->value.IsString()) throw ProtocolError{reason::malformed};
   const auto op_name = text_of(op->value);
   std::size_t index = 0;
   while (index < op_names.size() && op_names[index] != op_name) ++index;
-  if (index == op_names.size()) throw Unreadable{reason::unknown_op};
+  if (index == op_names.size()) throw ProtocolError{reason::unknown_op};
   message.op = static_cast<Op>(index);
   if (const auto call = json.FindMember("call"); call != json.MemberEnd()) {
-    if (!call->value.IsString()) throw Unreadable{reason::malformed};
+    if (!call->value.IsString()) throw ProtocolError{reason::malformed};
     message.call_id = text_of(call->value);
   }
   const bool needs_call_id = message.op != Op::group && message.op != Op::test && message.op != Op::tested;
-  if (needs_call_id && !is_call_id(message.call_id)) throw Unreadable{reason::malformed};
+  if (needs_call_id && !is_call_id(message.call_id)) throw ProtocolError{reason::malformed};
   if (const auto with = json.FindMember("with"); with != json.MemberEnd() && !with->value.IsNull()) {
-    if (!with->value.IsObject()) throw Unreadable{reason::malformed};
+    if (!with->value.IsObject()) throw ProtocolError{reason::malformed};
     for (const auto& member : with->value.GetObject()) {
       if (member.value.IsString()) {
         message.fields.emplace_back(text_of(member.name), text_of(member.value));
       } else if (member.value.IsNumber()) {
         message.fields.emplace_back(text_of(member.name), number_text(member.value));
       } else {
-        throw Unreadable{reason::malformed};
+        throw ProtocolError{reason::malformed};
       }
     }
   }
   if (const auto why = json.FindMember("why"); why != json.MemberEnd() && !why->value.IsNull()) {
-    if (!why->value.IsInt()) throw Unreadable{reason::malformed};
+    if (!why->value.IsInt()) throw ProtocolError{reason::malformed};
     message.code = why->value.GetInt();
   }
   if (const auto desc = json.FindMember("desc"); desc != json.MemberEnd() && !desc->value.IsNull()) {
-    if (!desc->value.IsString()) throw Unreadable{reason::malformed};
+    if (!desc->value.IsString()) throw ProtocolError{reason::malformed};
     message.description = text_of(desc->value);
   }
   return message;
--- a/src/platform/message.hpp
+++ b/src/platform/message.hpp
@@ -40,7 +40,7 @@
   [[nodiscard]] double number(std::string_view name, double fallback) const;
 };
 
-/// Throws Unreadable with the reason code for the end of the connection.
+/// Throws ProtocolError with the reason code for the end of the connection.
 [[nodiscard]] Message parse_message(const std::string& line);
 /// The result includes the line feed.
 [[nodiscard]] std::string serialize_message(const Message& message);
--- a/src/platform/platform_service.cpp
+++ b/src/platform/platform_service.cpp
@@ -24,7 +24,7 @@
       converter_backend_(program.clock(), program.timers(), program.net(), router_, config_),
       caller_frontend_(program.clock(), program.timers(), program.net(), router_, config_) {
   load_tls();
-  program.net().set_most_unsent(config_.max_unsent_bytes);
+  program.net().set_max_unsent_bytes(config_.max_unsent_bytes);
   router_.set_backend(converter_backend_);
   router_.set_log(program.log_sink());
   converter_backend_.set_unknown_call_end_handler([this](const std::string& call_id, int cause_code) {
@@ -94,7 +94,7 @@
   config_.max_unsent_bytes = new_config.max_unsent_bytes;
   config_.tenant_names = new_config.tenant_names;
   config_.connect_timeout_ms = new_config.connect_timeout_ms;
-  program_.net().set_most_unsent(config_.max_unsent_bytes);
+  program_.net().set_max_unsent_bytes(config_.max_unsent_bytes);
   caller_frontend_.update_limits();
   if (!new_config.bus) return;
   config_.bus = new_config.bus;
--- a/src/program.cpp
+++ b/src/program.cpp
@@ -27,12 +27,12 @@
 
 void Program::log(LogLevel level, const char* event, const std::vector<LogField>& fields) {
   log_.write(clock_.now_ms(), level, event, fields);
-  if (!dropped_report_pending_ && log_.untold() > 0) report_dropped_lines();
+  if (!dropped_report_pending_ && log_.unreported_drops() > 0) report_dropped_lines();
 }
 
 /// Logs how many lines were dropped for a slow reader of the log; retries until that reader reads again.
 void Program::report_dropped_lines() {
-  dropped_report_pending_ = !log_.tell_dropped(clock_.now_ms());
+  dropped_report_pending_ = !log_.report_dropped(clock_.now_ms());
   if (dropped_report_pending_)
     timers_.schedule(clock_.now_ms() + dropped_report_interval_ms, [this] { report_dropped_lines(); });
 }
@@ -95,7 +95,7 @@
 
 void Program::stop_when_done() {
   const bool all_answered =
-      net_.unsent() == 0 && std::all_of(services_.begin(), services_.end(), [](const auto& service) {
+      net_.unsent_bytes() == 0 && std::all_of(services_.begin(), services_.end(), [](const auto& service) {
         return service->router().pending_count() == 0 && !service->deregistering();
       });
   // Closing a connection that has unread input resets it, and the peer may lose what was just written: the
--- a/tests/router/codec_test.cpp
+++ b/tests/router/codec_test.cpp
@@ -13,8 +13,8 @@
 std::string reason_for(const std::string& line) {
   try {
     (void)parse_message(line);
-  } catch (const Unreadable& error) {
-    return error.reason;
+  } catch (const ProtocolError& error) {
+    return error.reason_code;
   }
   return "";
 }
@@ -139,7 +139,7 @@
 
 TEST_CASE("a registry's list, its changes and its statuses") {
   EurekaInstances list;
-  list.take_all(listed("UP_1_", instance("a", "UP")));  // one instance may stand without a list
+  list.apply_full(listed("UP_1_", instance("a", "UP")));  // one instance may stand without a list
   REQUIRE(list.converters("ns").size() == 1);
   const auto a = list.converters("ns")[0];
   CHECK(a.name == "a");
@@ -147,16 +147,17 @@
   CHECK(a.entry.number == 3);
   CHECK(a.circuits == 7);
   CHECK(list.converters("other").empty());
-  CHECK(list.take_delta(listed("DOWN_1_OUT_OF_SERVICE_1_", "[" + instance("a", "OUT_OF_SERVICE", "MODIFIED") +
-                                                               "," + instance("b", "DOWN") + "]")));
+  CHECK(
+      list.apply_delta(listed("DOWN_1_OUT_OF_SERVICE_1_", "[" + instance("a", "OUT_OF_SERVICE", "MODIFIED") +
+                                                              "," + instance("b", "DOWN") + "]")));
   REQUIRE(list.converters("NS").size() == 2);
   CHECK(list.converters("NS")[0].entry.state == maddershed::ExchangeState::draining);
   CHECK(list.converters("NS")[1].entry.state == maddershed::ExchangeState::gone);
-  CHECK(list.take_delta(listed("OUT_OF_SERVICE_1_", "[" + instance("b", "DOWN", "DELETED") + "]")));
+  CHECK(list.apply_delta(listed("OUT_OF_SERVICE_1_", "[" + instance("b", "DOWN", "DELETED") + "]")));
   CHECK(list.converters("NS").size() == 1);
   // A change was missed: the list stays, and all must be fetched.
-  CHECK_FALSE(list.take_delta(listed("UP_9_", "[" + instance("c", "UP") + "]")));
-  CHECK_THROWS_AS(list.take_all("<applications/>"), InputError);
+  CHECK_FALSE(list.apply_delta(listed("UP_9_", "[" + instance("c", "UP") + "]")));
+  CHECK_THROWS_AS(list.apply_full("<applications/>"), InputError);
   CHECK(list.converters("NS").size() == 1);
 }
 
