--- a/bench/tls_bench.cpp
+++ b/bench/tls_bench.cpp
@@ -7,7 +7,7 @@
 
 #include <cstdio>
 
-#include "../tests/router/tls_stand_in.hpp"
+#include "../tests/router/tls_fixture.hpp"
 
 namespace heathturn::test {
 namespace {
@@ -58,7 +58,7 @@
   return std::make_unique<tls::Context>(config, now_ms() + 1e12);
 }
 
-std::shared_ptr<SSL_CTX> make_server_context(const Issued& own) {
+std::shared_ptr<SSL_CTX> make_server_context(const IssuedCertificate& own) {
   const std::shared_ptr<SSL_CTX> out(SSL_CTX_new(TLS_server_method()), SSL_CTX_free);
   SSL_CTX_use_certificate(out.get(), own.certificate.get());
   SSL_CTX_use_PrivateKey(out.get(), own.key.get());
@@ -68,10 +68,10 @@
 /// Prints the processor time of full and resumed handshakes.
 void measure_handshakes(const char* key_kind, const KeyPointer& key, int version) {
   constexpr int rounds = 300;
-  const auto root = authority();
-  Wanted wanted;
-  wanted.key = key;
-  const auto own = issue(wanted, &root);
+  const auto root = make_authority();
+  CertificateSpec spec;
+  spec.key = key;
+  const auto own = issue_certificate(spec, &root);
   const TempFile trust(root.certificate_pem());
   const auto context_owner = client_context(trust);
   auto& context = *context_owner;
@@ -107,8 +107,8 @@
 /// Prints the memory of an established connection.
 void measure_memory() {
   constexpr std::size_t count = 500;
-  const auto root = authority();
-  const auto own = issue(Wanted{}, &root);
+  const auto root = make_authority();
+  const auto own = issue_certificate(CertificateSpec{}, &root);
   const TempFile trust(root.certificate_pem());
   const auto context_owner = client_context(trust);
   auto& context = *context_owner;
@@ -134,8 +134,8 @@
 /// here.
 void measure_failed_handshakes() {
   constexpr int count = 20000;
-  const auto root = authority(), other = authority("another");
-  const auto own = issue(Wanted{}, &other);
+  const auto root = make_authority(), other = make_authority("another");
+  const auto own = issue_certificate(CertificateSpec{}, &other);
   const TempFile trust(root.certificate_pem());
   const auto context_owner = client_context(trust);
   auto& context = *context_owner;
@@ -169,11 +169,11 @@
 /// end after one look-up. `plain_cpu_ms`: the result to compare with, or 0.
 double measure_look_ups(const char* label, bool tls, bool one_per_connection, double plain_cpu_ms) {
   constexpr int count = 1500;
-  const auto root = authority();
+  const auto root = make_authority();
   const TempFile trust(root.certificate_pem());
   TlsServer::Behaviour behaviour;
-  behaviour.close_after_one = one_per_connection;
-  TlsServer server(issue(Wanted{}, &root), behaviour);
+  behaviour.close_after_answer = one_per_connection;
+  TlsServer server(issue_certificate(CertificateSpec{}, &root), behaviour);
   rusage before{}, after{};
   ::getrusage(RUSAGE_CHILDREN, &before);
   {
@@ -196,8 +196,8 @@
   ::getrusage(RUSAGE_CHILDREN, &after);
   const double look_up_cpu_ms = (cpu_ms(after) - cpu_ms(before)) / count;
   std::printf("%-28s %.3f ms of processor time per look-up, %.1f times plain; full %d, resumed %d\n", label,
-              look_up_cpu_ms, plain_cpu_ms > 0 ? look_up_cpu_ms / plain_cpu_ms : 1, server.full.load(),
-              server.resumed.load());
+              look_up_cpu_ms, plain_cpu_ms > 0 ? look_up_cpu_ms / plain_cpu_ms : 1,
+              server.full_handshakes.load(), server.resumed_handshakes.load());
   return look_up_cpu_ms;
 }
 
--- a/tests/router/appliance_test.cpp
+++ b/tests/router/appliance_test.cpp
@@ -1,4 +1,4 @@
-// The appliance's surroundings: a Eureka registry that the tests play, and the operator's console.
+// The Eureka client, with a registry that the test plays, and the operator's console.
 #include <sys/stat.h>
 
 #include "enum_fixture.hpp"
@@ -6,14 +6,14 @@
 namespace heathturn::test {
 namespace {
 
-/// A registry with one application, NS, of one instance at `server`.
+/// A Eureka registry whose requests the test receives and answers.
 struct Registry {
   Socket listener = Socket::bound(SOCK_STREAM);
   struct Request {
     Socket connection;
     std::string line, body;
   };
-  [[nodiscard]] Request next() const {
+  [[nodiscard]] Request next_request() const {
     Request out{listener.accept(), "", ""};
     std::size_t length = 0;
     for (auto line = out.connection.read_line(); line != "\r"; line = out.connection.read_line()) {
@@ -23,11 +23,12 @@
     out.body = out.connection.read_bytes(length);
     return out;
   }
-  static void answer(const Request& request, int status, const std::string& body = "") {
+  static void reply(const Request& request, int status, const std::string& body = "") {
     request.connection.write(
         "HTTP/1.1 " + std::to_string(status) + " x\r\nContent-Type: application/json\r\n" +
         "Content-Length: " + std::to_string(body.size()) + "\r\nConnection: close\r\n\r\n" + body);
   }
+  /// A list of one application, NS, with one instance at `server`.
   static std::string list(const Address& server, const std::string& status, const std::string& hash) {
     return R"({"applications":{"apps__hashcode":")" + hash +
            R"(","application":[{"name":"NS","instance":[{"instanceId":"ns-a","ipAddr":"127.0.0.1","status":")" +
@@ -40,77 +41,79 @@
   }
 };
 
-TEST_CASE("the list comes from a registry: ready, draining, an outage, a lost change") {
+TEST_CASE("converters come from a registry: ready, draining, registry outage, missed delta") {
   const Registry registry;
-  const EnumFixture e(8, registry.config(), true);
-  auto fetch = registry.next();
+  const EnumFixture fixture(8, registry.config(), true);
+  auto fetch = registry.next_request();
   CHECK(fetch.line == "GET /eureka/apps");
-  Registry::answer(fetch, 200, Registry::list(e.udp[0].address(), "UP", "UP_1_"));
-  fetch = registry.next();  // the list is in force once the next fetch comes
+  Registry::reply(fetch, 200, Registry::list(fixture.udp[0].address(), "UP", "UP_1_"));
+  fetch = registry.next_request();  // the list is applied before the next fetch is sent
   CHECK(fetch.line == "GET /eureka/apps/delta");
-  const auto served = [&e](std::uint16_t id) {
-    e.send_query(EnumFixture::query(EnumFixture::enum_name("3.2.1.4.6"), id));
-    const auto asked = e.receive_query(0);
-    e.send_reply(0, asked, EnumFixture::reply(asked.message, "sip:r@example.org"));
-    return answer_contains(e.receive_answer(), "sip:r@example.org");
+  const auto lookup_answered = [&fixture](std::uint16_t id) {
+    fixture.send_query(EnumFixture::query(EnumFixture::enum_name("3.2.1.4.6"), id));
+    const auto received_query = fixture.receive_query(0);
+    fixture.send_reply(0, received_query, EnumFixture::reply(received_query.message, "sip:r@example.org"));
+    return answer_contains(fixture.receive_answer(), "sip:r@example.org");
   };
-  CHECK(served(1));
-  // An outage in three forms: the list stays.
-  Registry::answer(fetch, 500);
-  e.program->wait_for_log("event=registry_unusable");
-  Registry::answer(registry.next(), 200, "{nonsense");
-  registry.next().connection.close();
-  CHECK(served(2));
-  // A change that does not fit what is known: all is fetched.
-  Registry::answer(registry.next(), 200, Registry::list(e.udp[0].address(), "UP", "UP_2_"));
-  fetch = registry.next();
+  CHECK(lookup_answered(1));
+  // Three kinds of registry failure: the list stays as it was.
+  Registry::reply(fetch, 500);
+  fixture.program->wait_for_log("event=registry_unusable");
+  Registry::reply(registry.next_request(), 200, "{nonsense");
+  registry.next_request().connection.close();
+  CHECK(lookup_answered(2));
+  // A delta whose hash does not match the known list: the full list is fetched.
+  Registry::reply(registry.next_request(), 200, Registry::list(fixture.udp[0].address(), "UP", "UP_2_"));
+  fetch = registry.next_request();
   CHECK(fetch.line == "GET /eureka/apps");
-  Registry::answer(fetch, 200, Registry::list(e.udp[0].address(), "UP", "UP_1_"));
-  CHECK(served(3));
-  // Draining: nothing new goes there, and what is out may end.
-  fetch = registry.next();
-  e.send_query(EnumFixture::query(EnumFixture::enum_name("1.4.6"), 4));
-  const auto before = e.receive_query(0);
-  Registry::answer(fetch, 200, Registry::list(e.udp[0].address(), "OUT_OF_SERVICE", "OUT_OF_SERVICE_1_"));
-  fetch = registry.next();
-  e.send_query(EnumFixture::query(EnumFixture::enum_name("2.4.6"), 5));
-  const auto refused = e.receive_answer();  // at once, while the other is still open
+  Registry::reply(fetch, 200, Registry::list(fixture.udp[0].address(), "UP", "UP_1_"));
+  CHECK(lookup_answered(3));
+  // Draining: the instance gets no new request, and its open request may finish.
+  fetch = registry.next_request();
+  fixture.send_query(EnumFixture::query(EnumFixture::enum_name("1.4.6"), 4));
+  const auto open_request = fixture.receive_query(0);
+  Registry::reply(fetch, 200,
+                  Registry::list(fixture.udp[0].address(), "OUT_OF_SERVICE", "OUT_OF_SERVICE_1_"));
+  fetch = registry.next_request();
+  fixture.send_query(EnumFixture::query(EnumFixture::enum_name("2.4.6"), 5));
+  const auto refused = fixture.receive_answer();  // at once, while the other request is still open
   CHECK(refused.id == 5);
   CHECK(refused.rcode == dns::rcode::serv_fail);
-  CHECK(e.udp[0].no_input_within(100));
-  e.send_reply(0, before, EnumFixture::reply(before.message, "sip:s@example.org"));
-  CHECK(e.receive_answer().id == 4);
+  CHECK(fixture.udp[0].no_input_within(100));
+  fixture.send_reply(0, open_request, EnumFixture::reply(open_request.message, "sip:s@example.org"));
+  CHECK(fixture.receive_answer().id == 4);
 }
 
-TEST_CASE("the program registers itself, keeps itself known, and takes itself off") {
+TEST_CASE("the program registers itself, sends heartbeats, and removes its registration") {
   const Registry registry;
-  const EnumFixture e(
+  const EnumFixture fixture(
       8, registry.config(R"(register { application: "HEATHTURN" instance: "h 1" heartbeat: "50ms" })"), true);
-  std::vector<std::string> seen;
-  bool leaving = false;
-  while (seen.size() < 4) {
-    const auto request = registry.next();
+  std::vector<std::string> request_lines;
+  bool signal_sent = false;
+  while (request_lines.size() < 4) {
+    const auto request = registry.next_request();
     if (request.line.starts_with("GET")) {
-      Registry::answer(request, 404);
+      Registry::reply(request, 404);
       continue;
     }
-    seen.push_back(request.line);
-    if (seen.size() == 1) {
+    request_lines.push_back(request.line);
+    if (request_lines.size() == 1) {
       CHECK(request.body.find(R"("ipAddr":"127.0.0.1")") != std::string::npos);
-      CHECK(request.body.find(R"("$":)" + std::to_string(e.server_address.port)) != std::string::npos);
+      CHECK(request.body.find(R"("$":)" + std::to_string(fixture.server_address.port)) != std::string::npos);
     }
-    // The first heartbeat finds a registry that has forgotten; the ones after it are welcome.
-    Registry::answer(request, request.line.starts_with("PUT") ? (seen.size() == 2 ? 404 : 200) : 204);
-    if (seen.size() == 3) {
-      e.program->signal(SIGTERM);
-      leaving = true;
+    // The registry no longer knows the program at the first heartbeat, and accepts the later ones.
+    Registry::reply(request, request.line.starts_with("PUT") ? (request_lines.size() == 2 ? 404 : 200) : 204);
+    if (request_lines.size() == 3) {
+      fixture.program->signal(SIGTERM);
+      signal_sent = true;
     }
-    if (leaving && request.line.starts_with("PUT")) seen.pop_back();  // one that crossed the signal
+    if (signal_sent && request.line.starts_with("PUT"))
+      request_lines.pop_back();  // a heartbeat sent before the signal arrived
   }
-  CHECK(seen ==
+  CHECK(request_lines ==
         std::vector<std::string>{"POST /eureka/apps/HEATHTURN", "PUT /eureka/apps/HEATHTURN/h%201?status=UP",
                                  "POST /eureka/apps/HEATHTURN", "DELETE /eureka/apps/HEATHTURN/h%201"});
-  CHECK(e.program->wait_for_exit() == 0);
+  CHECK(fixture.program->wait_for_exit() == 0);
 }
 
 // ---- The console ----------------------------------------------------------------------------------------
@@ -118,39 +121,39 @@
 /// Runs `heathturn console` with one command; returns all that it prints.
 std::string console(const std::string& socket, const std::string& command, int status = 0) {
   Process client({"console", "--socket", socket, command});
-  const auto out = client.read_remaining_output();
+  const auto output = client.read_remaining_output();
   CHECK(client.wait_for_exit() == status);
-  return out;
+  return output;
 }
 
 TEST_CASE("the console shows what is running, and drains it") {
-  const TempFile at("");
-  const auto path = at.path() + ".socket";
-  const EnumFixture e(8, "", false, {"--console", path});
-  struct stat found {};
-  REQUIRE(::stat(path.c_str(), &found) == 0);
-  CHECK((found.st_mode & 0777) == 0600);
-  e.send_query(EnumFixture::query(EnumFixture::enum_name("3.2.1.4.6")));
-  const auto asked = e.receive_query(0);
+  const TempFile file("");
+  const auto path = file.path() + ".socket";
+  const EnumFixture fixture(8, "", false, {"--console", path});
+  struct stat socket_status {};
+  REQUIRE(::stat(path.c_str(), &socket_status) == 0);
+  CHECK((socket_status.st_mode & 0777) == 0600);
+  fixture.send_query(EnumFixture::query(EnumFixture::enum_name("3.2.1.4.6")));
+  const auto received_query = fixture.receive_query(0);
   CHECK(console(path, "status").find("enum: open 1, standing 0, offered 1,") != std::string::npos);
-  CHECK(console(path, "converters").find(e.udp[0].address().text()) != std::string::npos);
+  CHECK(console(path, "converters").find(fixture.udp[0].address().text()) != std::string::npos);
   CHECK(console(path, "calls").find("3.2.1.4.6.enum.example.org") != std::string::npos);
   CHECK(console(path, "dance").find("unknown command") != std::string::npos);
   CHECK(console(path, "quit").empty());
   CHECK(console(path, "drain") == "draining\n");
   CHECK(console(path, "status").find("draining") != std::string::npos);
-  e.send_reply(0, asked, EnumFixture::reply(asked.message, "sip:t@example.org"));
-  CHECK(e.receive_answer().id == 77);
-  CHECK(e.program->wait_for_exit() == 0);
+  fixture.send_reply(0, received_query, EnumFixture::reply(received_query.message, "sip:t@example.org"));
+  CHECK(fixture.receive_answer().id == 77);
+  CHECK(fixture.program->wait_for_exit() == 0);
   CHECK(console(path, "status", 1).find("no console at") != std::string::npos);
 }
 
-TEST_CASE("a console's path that something else uses is left alone") {
-  const TempFile at("mine");
-  Process program({"serve", "--site", HEATHTURN_SITE_FILE, "--console", at.path()});
+TEST_CASE("a console path that another file uses is left alone") {
+  const TempFile file("mine");
+  Process program({"serve", "--site", HEATHTURN_SITE_FILE, "--console", file.path()});
   program.wait_for_log("in use by something else");
   CHECK(program.wait_for_exit() == 1);
-  CHECK(read_file(at.path()) == "mine");
+  CHECK(read_file(file.path()) == "mine");
 }
 
 }  // namespace
--- a/tests/router/tls_test.cpp
+++ b/tests/router/tls_test.cpp
@@ -1,31 +1,31 @@
-// DNS over TLS towards name servers of the test's own: who is taken, who is refused and how clearly,
-// sessions, certificates replaced in service.
+// TLS to converters, with a server that the test runs: verification of peers and its reason codes, session
+// resumption, replacement of certificates at a reload, and admission of handshakes.
 #include <sys/stat.h>
 
 #include <chrono>
 #include <filesystem>
 
-#include "tls_stand_in.hpp"
+#include "tls_fixture.hpp"
 
 namespace heathturn::test {
 namespace {
 
 namespace fs = std::filesystem;
 
-/// Files of the test's authority, in a folder that goes with the object.
-struct Files {
+/// The certificate authority of a test and its files, in a folder that is removed with the object.
+struct AuthorityFiles {
   fs::path folder;
-  Issued root = authority();
+  IssuedCertificate root = make_authority();
   std::string trust;
-  Files() {
+  AuthorityFiles() {
     std::string name = "/tmp/heathturn-test-XXXXXX";
     REQUIRE(::mkdtemp(name.data()) != nullptr);
     folder = name;
     trust = write("trust.pem", root.certificate_pem());
   }
-  ~Files() { fs::remove_all(folder); }
-  Files(const Files&) = delete;
-  Files& operator=(const Files&) = delete;
+  ~AuthorityFiles() { fs::remove_all(folder); }
+  AuthorityFiles(const AuthorityFiles&) = delete;
+  AuthorityFiles& operator=(const AuthorityFiles&) = delete;
   std::string write(const std::string& name, const std::string& text, mode_t mode = 0600) const {
     const auto path = (folder / name).string();
     std::ofstream(path, std::ios::binary | std::ios::trunc) << text;
@@ -34,33 +34,37 @@
   }
 };
 
+/// A pool `p` with one member and the given TLS settings.
 std::string tls_pool(const Address& at, const std::string& tls, const std::string& member = "secure") {
   return "pool { name: \"p\" member { name: \"" + member + "\" address: \"" + at.text() + "\" } tls { " +
          tls + " } }\n";
 }
-std::string trusting(const Files& files, const std::string& more = "") {
+/// TLS settings that trust the authority of the test.
+std::string trust_settings(const AuthorityFiles& files, const std::string& more = "") {
   return "trust: \"" + files.trust + "\" handshake: \"1s\" " + more;
 }
-const std::string to_p = "route { to { pool: \"p\" } }\n";
-/// What the first cannot answer is asked of a plain name server.
-const std::string p_then_plain =
+const std::string route_to_p = "route { to { pool: \"p\" } }\n";
+/// Look-ups that pool `p` cannot answer go to a name server without TLS.
+const std::string route_to_p_then_plain =
     "pool { name: \"q\" member { name: \"plain\" address: \"$0\" } }\nroute { to { pool: \"p\" } to { pool: "
     "\"q\" } }\n";
 
-bool served(const EnumFixture& e, std::uint16_t id, const std::string& uri = "sip:tls@example.org") {
+/// Sends a look-up and returns whether the answer holds the URI.
+bool lookup_answered(const EnumFixture& fixture, std::uint16_t id,
+                     const std::string& uri = "sip:tls@example.org") {
   const auto answer =
-      e.resolve(EnumFixture::query(EnumFixture::enum_name(std::to_string(id % 10) + ".1"), id));
+      fixture.resolve(EnumFixture::query(EnumFixture::enum_name(std::to_string(id % 10) + ".1"), id));
   CHECK(answer.id == id);
   return answer_contains(answer, uri);
 }
 
-TEST_CASE("look-ups go over one verified connection, by address, by name, with ALPN and with a pin") {
-  const Files files;
-  Wanted wanted;
-  wanted.alternative = "IP:127.0.0.1,DNS:ns.example.org";
-  const auto own = issue(wanted, &files.root);
+TEST_CASE("look-ups use one verified connection: by address, by name, with ALPN, with a pin") {
+  const AuthorityFiles files;
+  CertificateSpec spec;
+  spec.subject_alternative_name = "IP:127.0.0.1,DNS:ns.example.org";
+  const auto server_certificate = issue_certificate(spec, &files.root);
   unsigned char base64[64];
-  const auto digest = tls::public_key_pin(own.certificate.get());
+  const auto digest = tls::public_key_pin(server_certificate.certificate.get());
   EVP_EncodeBlock(base64, reinterpret_cast<const unsigned char*>(digest.data()),
                   static_cast<int>(digest.size()));
   const auto pin = std::string("sha256/") + reinterpret_cast<const char*>(base64);
@@ -68,192 +72,208 @@
        {std::string(), std::string("name: \"ns.example.org\""), std::string("alpn: \"dot\" lowest: \"1.3\""),
         "pin: \"" + pin + "\" pin: \"sha256/AAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAA=\""}) {
     INFO(more);
-    TlsServer server(own, {.alpn = "dot"});
-    const EnumFixture e(tls_pool(server.address(), trusting(files, more)) + to_p);
-    for (std::uint16_t id = 1; id <= 10; ++id) CHECK(served(e, id));
-    CHECK(server.connections == 1);
-    CHECK(server.answered == 10);
+    TlsServer server(server_certificate, {.alpn = "dot"});
+    const EnumFixture fixture(tls_pool(server.address(), trust_settings(files, more)) + route_to_p);
+    for (std::uint16_t id = 1; id <= 10; ++id) CHECK(lookup_answered(fixture, id));
+    CHECK(server.connections_accepted == 1);
+    CHECK(server.answers_sent == 10);
   }
-  TlsServer old(own, {.highest = TLS1_2_VERSION});
-  const EnumFixture e(tls_pool(old.address(), trusting(files)) + to_p);
-  CHECK(served(e, 1));
+  TlsServer tls12_server(server_certificate, {.max_version = TLS1_2_VERSION});
+  const EnumFixture fixture(tls_pool(tls12_server.address(), trust_settings(files)) + route_to_p);
+  CHECK(lookup_answered(fixture, 1));
 }
 
-TEST_CASE("who is not the right one is refused by a reason of its own, and the next server is asked") {
-  const Files files;
-  const auto other = authority("another authority");
-  const auto good = issue(Wanted{}, &files.root);
+TEST_CASE("each kind of unacceptable peer is refused with its own reason, and the next server is asked") {
+  const AuthorityFiles files;
+  const auto other_authority = make_authority("another authority");
+  const auto valid_certificate = issue_certificate(CertificateSpec{}, &files.root);
   struct Case {
     const char* reason;
-    Issued own;
+    IssuedCertificate server_certificate;
     std::string more;
     TlsServer::Behaviour behaviour{};
   };
-  const auto with = [](auto change) {
-    Wanted wanted;
-    change(wanted);
-    return wanted;
+  const auto spec_with = [](auto change) {
+    CertificateSpec spec;
+    change(spec);
+    return spec;
   };
   const Case cases[] = {
-      {"tls_expired", issue(with([](auto& w) { w.from_days = -10, w.to_days = -2; }), &files.root), ""},
-      {"tls_not_yet_valid", issue(with([](auto& w) { w.from_days = 2, w.to_days = 9; }), &files.root), ""},
-      {"tls_wrong_name", issue(with([](auto& w) { w.alternative = "IP:127.0.0.9"; }), &files.root), ""},
-      {"tls_wrong_name", good, "name: \"ns.example.org\""},
-      {"tls_unknown_issuer", issue(Wanted{}, &other), ""},
-      {"tls_self_signed", issue(Wanted{}), ""},
-      {"tls_revoked", good, "crl: \"" + files.write("crl.pem", revocations(files.root, good)) + "\""},
-      {"tls_weak_key", issue(with([](auto& w) { w.key = rsa_key(1024); }), &files.root), ""},
-      {"tls_wrong_pin", good, "pin: \"sha256/AAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAA=\""},
-      {"tls_no_alpn", good, "alpn: \"dot\""},
-      {"tls_version", good, "lowest: \"1.3\"", {.highest = TLS1_2_VERSION}},
-      {"tls_broken_off", good, "", {.cut_after = 100}},
+      {"tls_expired",
+       issue_certificate(
+           spec_with([](auto& spec) { spec.valid_from_days = -10, spec.valid_until_days = -2; }),
+           &files.root),
+       ""},
+      {"tls_not_yet_valid",
+       issue_certificate(spec_with([](auto& spec) { spec.valid_from_days = 2, spec.valid_until_days = 9; }),
+                         &files.root),
+       ""},
+      {"tls_wrong_name",
+       issue_certificate(spec_with([](auto& spec) { spec.subject_alternative_name = "IP:127.0.0.9"; }),
+                         &files.root),
+       ""},
+      {"tls_wrong_name", valid_certificate, "name: \"ns.example.org\""},
+      {"tls_unknown_issuer", issue_certificate(CertificateSpec{}, &other_authority), ""},
+      {"tls_self_signed", issue_certificate(CertificateSpec{}), ""},
+      {"tls_revoked", valid_certificate,
+       "crl: \"" + files.write("crl.pem", revocation_list_pem(files.root, valid_certificate)) + "\""},
+      {"tls_weak_key",
+       issue_certificate(spec_with([](auto& spec) { spec.key = rsa_key(1024); }), &files.root), ""},
+      {"tls_wrong_pin", valid_certificate, "pin: \"sha256/AAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAA=\""},
+      {"tls_no_alpn", valid_certificate, "alpn: \"dot\""},
+      {"tls_version", valid_certificate, "lowest: \"1.3\"", {.max_version = TLS1_2_VERSION}},
+      {"tls_broken_off", valid_certificate, "", {.max_handshake_bytes = 100}},
   };
   for (const auto& each : cases) {
     INFO(each.reason);
-    TlsServer server(each.own, each.behaviour);
-    const EnumFixture e(tls_pool(server.address(), trusting(files, each.more)) + p_then_plain);
-    e.send_query(EnumFixture::query(EnumFixture::enum_name("1.1"), 9));
-    const auto asked = e.receive_query(0);
-    e.send_reply(0, asked, EnumFixture::reply(asked.message, "sip:plain@example.org"));
-    CHECK(answer_contains(e.receive_answer(), "sip:plain@example.org"));
-    const auto line = e.program->wait_for_log(std::string("event=tls_refused converter=secure peer=") +
-                                              server.address().text() + " reason=" + each.reason);
-    if (each.behaviour.cut_after == 0 && each.behaviour.highest == TLS1_3_VERSION) {
+    TlsServer server(each.server_certificate, each.behaviour);
+    const EnumFixture fixture(tls_pool(server.address(), trust_settings(files, each.more)) +
+                              route_to_p_then_plain);
+    fixture.send_query(EnumFixture::query(EnumFixture::enum_name("1.1"), 9));
+    const auto received_query = fixture.receive_query(0);
+    fixture.send_reply(0, received_query,
+                       EnumFixture::reply(received_query.message, "sip:plain@example.org"));
+    CHECK(answer_contains(fixture.receive_answer(), "sip:plain@example.org"));
+    const auto line = fixture.program->wait_for_log(std::string("event=tls_refused converter=secure peer=") +
+                                                    server.address().text() + " reason=" + each.reason);
+    if (each.behaviour.max_handshake_bytes == 0 && each.behaviour.max_version == TLS1_3_VERSION) {
       CHECK(line.find("CN=a name server") != std::string::npos);
       CHECK(line.find("not_after=20") != std::string::npos);
     }
-    CHECK(server.answered == 0);
+    CHECK(server.answers_sent == 0);
   }
 }
 
-TEST_CASE("a peer that answers in plain text, or stalls, is refused as such") {
-  const Files files;
+TEST_CASE("a peer that answers in plain text or stalls during the handshake is refused with that reason") {
+  const AuthorityFiles files;
   {
     const auto listener = Socket::bound(SOCK_STREAM);
-    const EnumFixture e(tls_pool(listener.address(), trusting(files)) + p_then_plain);
-    e.send_query(EnumFixture::query(EnumFixture::enum_name("1.1"), 9));
-    const auto plain = listener.accept();
-    plain.write("HTTP/1.1 400 Bad Request\r\n\r\n");
-    e.program->wait_for_log("reason=tls_plain_text");
+    const EnumFixture fixture(tls_pool(listener.address(), trust_settings(files)) + route_to_p_then_plain);
+    fixture.send_query(EnumFixture::query(EnumFixture::enum_name("1.1"), 9));
+    const auto plain_text_peer = listener.accept();
+    plain_text_peer.write("HTTP/1.1 400 Bad Request\r\n\r\n");
+    fixture.program->wait_for_log("reason=tls_plain_text");
   }
   const auto listener = Socket::bound(SOCK_STREAM);
-  const EnumFixture e(
-      tls_pool(listener.address(), trusting(files, "").replace(trusting(files).find("1s"), 2, "100ms")) +
-      p_then_plain);
-  e.send_query(EnumFixture::query(EnumFixture::enum_name("1.1"), 9));
-  const auto silent = listener.accept();
-  e.program->wait_for_log("reason=tls_stalled");
+  const EnumFixture fixture(tls_pool(listener.address(), trust_settings(files, "").replace(
+                                                             trust_settings(files).find("1s"), 2, "100ms")) +
+                            route_to_p_then_plain);
+  fixture.send_query(EnumFixture::query(EnumFixture::enum_name("1.1"), 9));
+  const auto silent_peer = listener.accept();
+  fixture.program->wait_for_log("reason=tls_stalled");
 }
 
-TEST_CASE("a handshake cut off at any byte costs no look-up its answer, and the program goes on") {
-  const Files files;
-  const auto own = issue(Wanted{}, &files.root);
-  // The server's part of this handshake has about 740 bytes.
+TEST_CASE("a handshake that breaks off at any byte fails no look-up, and the program keeps running") {
+  const AuthorityFiles files;
+  const auto server_certificate = issue_certificate(CertificateSpec{}, &files.root);
+  // The server sends about 740 bytes in this handshake.
   for (std::size_t bytes = 1; bytes < 640; bytes += bytes < 8 ? 1 : 149) {
     INFO(bytes);
-    TlsServer server(own, {.cut_after = bytes});
-    const EnumFixture e(tls_pool(server.address(), trusting(files)) + p_then_plain);
-    e.send_query(EnumFixture::query(EnumFixture::enum_name("1.1"), 9));
-    const auto asked = e.receive_query(0);
-    e.send_reply(0, asked, EnumFixture::reply(asked.message, "sip:plain@example.org"));
-    CHECK(answer_contains(e.receive_answer(), "sip:plain@example.org"));
-    CHECK(server.answered == 0);
+    TlsServer server(server_certificate, {.max_handshake_bytes = bytes});
+    const EnumFixture fixture(tls_pool(server.address(), trust_settings(files)) + route_to_p_then_plain);
+    fixture.send_query(EnumFixture::query(EnumFixture::enum_name("1.1"), 9));
+    const auto received_query = fixture.receive_query(0);
+    fixture.send_reply(0, received_query,
+                       EnumFixture::reply(received_query.message, "sip:plain@example.org"));
+    CHECK(answer_contains(fixture.receive_answer(), "sip:plain@example.org"));
+    CHECK(server.answers_sent == 0);
   }
 }
 
-TEST_CASE("a session is taken up again by its own server only, until its tickets are rotated") {
-  const Files files;
-  const auto own = issue(Wanted{}, &files.root);
+TEST_CASE("a session is resumed only with the server that issued it, until its ticket keys are rotated") {
+  const AuthorityFiles files;
+  const auto server_certificate = issue_certificate(CertificateSpec{}, &files.root);
   for (const int version : {TLS1_2_VERSION, TLS1_3_VERSION}) {
     INFO(version);
-    TlsServer server(own, {.highest = version, .close_after_one = true});
-    const EnumFixture e(tls_pool(server.address(), trusting(files)) + to_p);
+    TlsServer server(server_certificate, {.max_version = version, .close_after_answer = true});
+    const EnumFixture fixture(tls_pool(server.address(), trust_settings(files)) + route_to_p);
     for (std::uint16_t id = 1; id <= 4; ++id) {
-      CHECK(served(e, id));
-      e.program->wait_for_log("event=connection_ended side=upstream");
+      CHECK(lookup_answered(fixture, id));
+      fixture.program->wait_for_log("event=connection_ended side=upstream");
     }
-    CHECK(server.full == 1);
-    CHECK(server.resumed == 3);
-    server.rotate_tickets();
-    CHECK(served(e, 5));
-    e.program->wait_for_log("event=connection_ended side=upstream");
-    CHECK(server.full == 2);
-    CHECK(served(e, 6));
-    e.program->wait_for_log("event=connection_ended side=upstream");
-    CHECK(server.resumed == 4);
-    // Another server has come to the address: nothing of the old one is shown to it.
-    e.file->write(EnumFixture::site_header() + tls_pool(server.address(), trusting(files), "successor") +
-                  to_p);
-    e.program->signal(SIGHUP);
-    e.program->wait_for_log("event=configuration_taken");
-    CHECK(served(e, 7));
-    CHECK(server.full == 3);
-    CHECK(server.resumed == 4);
+    CHECK(server.full_handshakes == 1);
+    CHECK(server.resumed_handshakes == 3);
+    server.rotate_ticket_keys();
+    CHECK(lookup_answered(fixture, 5));
+    fixture.program->wait_for_log("event=connection_ended side=upstream");
+    CHECK(server.full_handshakes == 2);
+    CHECK(lookup_answered(fixture, 6));
+    fixture.program->wait_for_log("event=connection_ended side=upstream");
+    CHECK(server.resumed_handshakes == 4);
+    // Another server has taken over the address: no session of the old one is offered to it.
+    fixture.file->write(EnumFixture::site_header() +
+                        tls_pool(server.address(), trust_settings(files), "successor") + route_to_p);
+    fixture.program->signal(SIGHUP);
+    fixture.program->wait_for_log("event=configuration_taken");
+    CHECK(lookup_answered(fixture, 7));
+    CHECK(server.full_handshakes == 3);
+    CHECK(server.resumed_handshakes == 4);
   }
 }
 
 TEST_CASE(
-    "an own certificate is shown where it is asked for; files that do not fit are named, at a start and a "
+    "a client certificate is presented on request; unusable files are named in the error, at start and at "
     "reload") {
-  const Files files;
-  Wanted wanted;
-  wanted.name = "this router";
-  const auto client = issue(wanted, &files.root);
-  const auto certificate = files.write("own.pem", client.certificate_pem()),
-             key = files.write("own.key", client.key_pem());
-  const auto mutual = "certificate: \"" + certificate + "\" key: \"" + key + "\"";
-  TlsServer server(issue(Wanted{}, &files.root), {.client_trust = files.trust});
+  const AuthorityFiles files;
+  CertificateSpec spec;
+  spec.common_name = "this router";
+  const auto client_certificate = issue_certificate(spec, &files.root);
+  const auto certificate = files.write("own.pem", client_certificate.certificate_pem()),
+             key = files.write("own.key", client_certificate.key_pem());
+  const auto mutual_tls = "certificate: \"" + certificate + "\" key: \"" + key + "\"";
+  TlsServer server(issue_certificate(CertificateSpec{}, &files.root), {.client_trust = files.trust});
   {
-    const EnumFixture e(tls_pool(server.address(), trusting(files, mutual)) + to_p);
-    CHECK(served(e, 1));
-    // Under load: another good set is taken, a bad one changes nothing, and no look-up is lost.
-    wanted.key = ec_key();
-    const auto next = issue(wanted, &files.root);
+    const EnumFixture fixture(tls_pool(server.address(), trust_settings(files, mutual_tls)) + route_to_p);
+    CHECK(lookup_answered(fixture, 1));
+    // Reloads under load: a valid set of files is applied, an invalid one changes nothing, and no look-up
+    // fails.
+    spec.key = ec_key();
+    const auto renewed = issue_certificate(spec, &files.root);
     const auto reload = [&](const char* expected) {
-      e.program->signal(SIGHUP);
-      for (std::uint16_t id = 2; id < 30; ++id) CHECK(served(e, id));
-      return e.program->wait_for_log(expected);
+      fixture.program->signal(SIGHUP);
+      for (std::uint16_t id = 2; id < 30; ++id) CHECK(lookup_answered(fixture, id));
+      return fixture.program->wait_for_log(expected);
     };
-    files.write("own.key", next.key_pem());
+    files.write("own.key", renewed.key_pem());
     CHECK(reload("event=configuration_kept").find("the key does not match the certificate") !=
           std::string::npos);
-    files.write("own.pem", next.certificate_pem());
+    files.write("own.pem", renewed.certificate_pem());
     reload("event=tls_taken pool=p");
-    files.write("own.key", next.key_pem(), 0644);
+    files.write("own.key", renewed.key_pem(), 0644);
     CHECK(reload("event=configuration_kept").find("others than its owner may use this key") !=
           std::string::npos);
-    files.write("own.key", next.key_pem());
-    server.cut_all();
-    CHECK(served(e, 31));
+    files.write("own.key", renewed.key_pem());
+    server.shut_down_all();
+    CHECK(lookup_answered(fixture, 31));
   }
   {
-    const EnumFixture e(tls_pool(server.address(), trusting(files)) + p_then_plain);
-    e.send_query(EnumFixture::query(EnumFixture::enum_name("1.1"), 9));
-    e.program->wait_for_log("reason=tls_alert");
+    const EnumFixture fixture(tls_pool(server.address(), trust_settings(files)) + route_to_p_then_plain);
+    fixture.send_query(EnumFixture::query(EnumFixture::enum_name("1.1"), 9));
+    fixture.program->wait_for_log("reason=tls_alert");
   }
-  const auto starts = [&](const std::string& tls) {
-    const TempFile file(EnumFixture::site_header() + tls_pool(server.address(), tls) + to_p);
+  const auto failed_start_output = [&](const std::string& tls) {
+    const TempFile file(EnumFixture::site_header() + tls_pool(server.address(), tls) + route_to_p);
     Process program({"serve", "--site", file.path()});
-    const auto said = program.read_remaining_output();
+    const auto output = program.read_remaining_output();
     CHECK(program.wait_for_exit() == 1);
     Process check({"config", "check", file.path()});
     CHECK(check.read_remaining_output().find("pool.p.tls: ") != std::string::npos);
     CHECK(check.wait_for_exit() == 1);
-    return said;
+    return output;
   };
-  CHECK(starts("trust: \"" + files.write("none.pem", "nothing") + "\"").find("it holds no certificate") !=
-        std::string::npos);
-  CHECK(starts("trust: \"/none.pem\"").find("cannot be read") != std::string::npos);
-  wanted.to_days = -1;
-  wanted.from_days = -3;
-  const auto old = issue(wanted, &files.root);
-  files.write("own.pem", old.certificate_pem());
-  files.write("own.key", old.key_pem());
-  CHECK(starts(trusting(files, mutual)).find("expired at ") != std::string::npos);
+  CHECK(failed_start_output("trust: \"" + files.write("none.pem", "nothing") + "\"")
+            .find("it holds no certificate") != std::string::npos);
+  CHECK(failed_start_output("trust: \"/none.pem\"").find("cannot be read") != std::string::npos);
+  spec.valid_until_days = -1;
+  spec.valid_from_days = -3;
+  const auto expired = issue_certificate(spec, &files.root);
+  files.write("own.pem", expired.certificate_pem());
+  files.write("own.key", expired.key_pem());
+  CHECK(failed_start_output(trust_settings(files, mutual_tls)).find("expired at ") != std::string::npos);
 }
 
-TEST_CASE("the console counts handshakes, those resumed, and refusals by reason") {
-  const Files files;
+TEST_CASE("the console counts full and resumed handshakes, and refusals by reason") {
+  const AuthorityFiles files;
   const TempFile place("");
   const auto path = place.path() + ".socket";
   const auto status = [&path] {
@@ -261,54 +281,58 @@
     return client.read_remaining_output();
   };
   {
-    TlsServer server(issue(Wanted{}, &files.root), {.close_after_one = true});
-    const EnumFixture e(tls_pool(server.address(), trusting(files)) + to_p, {"--console", path});
+    TlsServer server(issue_certificate(CertificateSpec{}, &files.root), {.close_after_answer = true});
+    const EnumFixture fixture(tls_pool(server.address(), trust_settings(files)) + route_to_p,
+                              {"--console", path});
     for (std::uint16_t id = 1; id <= 3; ++id) {
-      CHECK(served(e, id));
-      e.program->wait_for_log("event=connection_ended side=upstream");
+      CHECK(lookup_answered(fixture, id));
+      fixture.program->wait_for_log("event=connection_ended side=upstream");
     }
     CHECK(status().find("enum: handshakes full 1, resumed 2, declined 0, failed 0") != std::string::npos);
   }
-  TlsServer wrong(issue(Wanted{}), {});
-  const EnumFixture e(tls_pool(wrong.address(), trusting(files)) + p_then_plain, {"--console", path});
-  e.send_query(EnumFixture::query(EnumFixture::enum_name("1.1"), 9));
-  e.program->wait_for_log("event=tls_refused");
+  TlsServer untrusted_server(issue_certificate(CertificateSpec{}), {});
+  const EnumFixture fixture(
+      tls_pool(untrusted_server.address(), trust_settings(files)) + route_to_p_then_plain,
+      {"--console", path});
+  fixture.send_query(EnumFixture::query(EnumFixture::enum_name("1.1"), 9));
+  fixture.program->wait_for_log("event=tls_refused");
   CHECK(status().find("enum: tls_self_signed ") != std::string::npos);
 }
 
-TEST_CASE("without verification anybody is taken, and the checker warns of it") {
-  const Files files;
-  TlsServer server(issue(Wanted{}), {});
+TEST_CASE("without verification any peer is accepted, and config check warns about it") {
+  const AuthorityFiles files;
+  TlsServer server(issue_certificate(CertificateSpec{}), {});
   const std::string tls = "verification: \"none\"";
-  const EnumFixture e(tls_pool(server.address(), tls) + to_p);
-  CHECK(served(e, 1));
-  Process check({"config", "check", e.file->path()});
+  const EnumFixture fixture(tls_pool(server.address(), tls) + route_to_p);
+  CHECK(lookup_answered(fixture, 1));
+  Process check({"config", "check", fixture.file->path()});
   CHECK(check.read_remaining_output().find(
             "warning: pool.p.tls.verification: certificates are not verified") != std::string::npos);
 }
 
-TEST_CASE("connections of more than a set age are moved over, and no look-up notices") {
-  const Files files;
-  TlsServer server(issue(Wanted{}, &files.root), {});
-  const EnumFixture e(tls_pool(server.address(), trusting(files, "most_age: \"1s\"")) + to_p);
+TEST_CASE("connections beyond their maximum age are replaced without failing a look-up") {
+  const AuthorityFiles files;
+  TlsServer server(issue_certificate(CertificateSpec{}, &files.root), {});
+  const EnumFixture fixture(tls_pool(server.address(), trust_settings(files, "most_age: \"1s\"")) +
+                            route_to_p);
   std::uint16_t id = 0;
-  for (const double from = now_ms(); now_ms() - from < 2500;) CHECK(served(e, ++id));
-  CHECK(server.connections >= 2);
-  CHECK(server.connections <= 4);
-  CHECK(server.resumed >= 1);
+  for (const double from = now_ms(); now_ms() - from < 2500;) CHECK(lookup_answered(fixture, ++id));
+  CHECK(server.connections_accepted >= 2);
+  CHECK(server.connections_accepted <= 4);
+  CHECK(server.resumed_handshakes >= 1);
 }
 
 // ---- The platform's converters ----------------------------------------------------------------------------
 
-/// A converter's part on the platform's wire: free circuits, and an answer to each set-up.
-TlsServer::Behaviour converter() {
+/// Behaviour of a converter on the platform's wire: reports free circuits and accepts each set-up.
+TlsServer::Behaviour converter_behaviour() {
   TlsServer::Behaviour out;
-  Message state;
-  state.op = Op::group;
-  state.fields = {{"load", "x0:10;x1:10"}};
-  out.greeting = serialize_message(state);
-  out.speak = [](std::string& input) {
-    std::string said;
+  Message report;
+  report.op = Op::group;
+  report.fields = {{"load", "x0:10;x1:10"}};
+  out.greeting = serialize_message(report);
+  out.respond = [](std::string& input) {
+    std::string response;
     for (auto end = input.find('\n'); end != std::string::npos; end = input.find('\n')) {
       const auto message = parse_message(input.substr(0, end));
       input.erase(0, end + 1);
@@ -317,15 +341,15 @@
       answer.op = message.op == Op::test ? Op::tested : Op::accept;
       if (message.op == Op::test) answer.code = 1;
       if (message.op == Op::offer) answer.description = "d\r\nvia TLS";
-      if (message.op == Op::test || message.op == Op::offer) said += serialize_message(answer);
+      if (message.op == Op::test || message.op == Op::offer) response += serialize_message(answer);
     }
-    return said;
+    return response;
   };
   return out;
 }
 
-/// A configuration as the platform gives it, with one converter, which has just started.
-std::string platform_text(const Address& converter, int routers, int cold_ms, int seed = 1) {
+/// The platform's configuration with one converter, which has just started.
+std::string platform_config_text(const Address& converter, int routers, int cold_ms, int seed = 1) {
   const auto now = std::chrono::duration_cast<std::chrono::milliseconds>(
       std::chrono::system_clock::now().time_since_epoch());
   return R"({"name":"n0","listen":"127.0.0.1:0","seed":")" + std::to_string(seed) +
@@ -341,11 +365,11 @@
          "stats":{"columns":["spare","total"]}}})";
 }
 
-TEST_CASE("the platform's converters are spoken to over TLS where the operator's file says so") {
-  const Files files;
-  TlsServer server(issue(Wanted{}, &files.root), converter());
-  const TempFile config(platform_text(server.address(), 1, 1)),
-      site("converters { tls { " + trusting(files) + " } }\n");
+TEST_CASE("connections to the platform's converters use TLS if the operator's file says so") {
+  const AuthorityFiles files;
+  TlsServer server(issue_certificate(CertificateSpec{}, &files.root), converter_behaviour());
+  const TempFile config(platform_config_text(server.address(), 1, 1)),
+      site("converters { tls { " + trust_settings(files) + " } }\n");
   Process program({"serve", "--config", config.path(), "--site", site.path()});
   const auto callers = program.wait_for_listening_address("caller");
   auto caller = Socket::connect(callers);
@@ -369,45 +393,49 @@
   CHECK(check.read_remaining_output().find("converters.tls: /none.pem cannot be read") != std::string::npos);
 }
 
-/// 25 routers hold 50 connections to a converter that dies and is back at once, with nobody's session known.
-/// Returns the most full handshakes within a quarter of a second of its new life.
-std::size_t storm(const std::string& handshakes) {
+/// Has 25 routers hold 50 connections to a converter that ends them all at once and can resume no session.
+/// Returns the largest number of full handshakes within any 250 ms after that.
+std::size_t max_full_handshakes_after_restart(const std::string& handshakes) {
   constexpr int routers = 25;
-  const Files files;
-  TlsServer server(issue(Wanted{}, &files.root), converter());
-  const TempFile site(handshakes + "converters { tls { " + trusting(files) + " } }\n");
+  const AuthorityFiles files;
+  TlsServer server(issue_certificate(CertificateSpec{}, &files.root), converter_behaviour());
+  const TempFile site(handshakes + "converters { tls { " + trust_settings(files) + " } }\n");
   std::vector<std::unique_ptr<TempFile>> configs;
   std::vector<std::unique_ptr<Process>> programs;
   for (int i = 0; i < routers; ++i) {
-    // The platform gives each its own seed.
-    configs.push_back(std::make_unique<TempFile>(platform_text(server.address(), routers, 1500, 1000 + i)));
+    // The platform gives each router its own seed.
+    configs.push_back(
+        std::make_unique<TempFile>(platform_config_text(server.address(), routers, 1500, 1000 + i)));
     programs.push_back(std::make_unique<Process>(
         std::vector<std::string>{"serve", "--config", configs.back()->path(), "--site", site.path()}));
   }
   const auto wait_for = [&](int handshakes_done) {
-    for (const double until = now_ms() + wait_timeout_ms; server.full + server.resumed < handshakes_done;) {
-      REQUIRE(now_ms() < until);
+    for (const double deadline = now_ms() + wait_timeout_ms;
+         server.full_handshakes + server.resumed_handshakes < handshakes_done;) {
+      REQUIRE(now_ms() < deadline);
       ::poll(nullptr, 0, 5);
     }
   };
   wait_for(2 * routers);
-  server.rotate_tickets();
+  server.rotate_ticket_keys();
   const double from = now_ms();
-  const int before = server.full;
-  server.cut_all();
+  const int full_before = server.full_handshakes;
+  server.shut_down_all();
   wait_for(4 * routers);
-  CHECK(server.full - before >= routers);
-  return server.most_within(250, from);
+  CHECK(server.full_handshakes - full_before >= routers);
+  return server.max_full_handshakes_within(250, from);
 }
 
-TEST_CASE("50 connections of many routers that come back at once never press a converter beyond its budget") {
+TEST_CASE(
+    "50 connections reopened by many routers at once stay within the handshake budget of the converter") {
   // 40% of the processor, at 10 ms for a full handshake: 10 in a quarter of a second.
-  const auto with = storm("handshakes { share: \"40%\" full_cost: \"10ms\" resumed_cost: \"1ms\" }\n");
-  CHECK(with <= 10);
-  // The same with an admission that admits all: they come at once.
-  const auto without =
-      storm("handshakes { share: \"100%\" full_cost: \"0.01ms\" resumed_cost: \"0.01ms\" }\n");
-  CHECK(without > 20);
+  const auto with_limit = max_full_handshakes_after_restart(
+      "handshakes { share: \"40%\" full_cost: \"10ms\" resumed_cost: \"1ms\" }\n");
+  CHECK(with_limit <= 10);
+  // The same with settings that admit every handshake at once.
+  const auto without_limit = max_full_handshakes_after_restart(
+      "handshakes { share: \"100%\" full_cost: \"0.01ms\" resumed_cost: \"0.01ms\" }\n");
+  CHECK(without_limit > 20);
 }
 
 }  // namespace
