--- a/drill/codec.cpp
+++ b/drill/codec.cpp
@@ -15,7 +15,7 @@
 /// Reads little-endian values from the body of a frame; throws WireError past its end.
 class Reader {
  public:
-  /// `base_offset`: of the bytes in the frame.
+  /// `base_offset`: offset of `bytes` in the frame.
   Reader(std::span<const std::uint8_t> bytes, std::size_t base_offset)
       : bytes_(bytes), base_offset_(base_offset) {}
 
--- a/src/config/formatter.cpp
+++ b/src/config/formatter.cpp
@@ -422,7 +422,7 @@
   std::string target = path;  // after symbolic links
   if (char* real = ::realpath(path.c_str(), nullptr); real != nullptr) {
     target = real;
-    std::free(real);  // NOLINT: realpath's own
+    std::free(real);  // NOLINT: allocated by realpath()
   }
   struct stat found {};
   const mode_t mode = ::stat(target.c_str(), &found) == 0 ? found.st_mode & 07777U : 0644U;
--- a/src/config/platform_config.cpp
+++ b/src/config/platform_config.cpp
@@ -155,7 +155,7 @@
   const auto lines = settings_text(root);
   try {
     auto parsed = parse_settings(lines);
-    // Must hold: the release wait includes the socket slack, because all time limits on sockets are longer by
+    // Invariant: the release wait includes the socket slack, because all time limits on sockets are longer by
     // it and the module plans its retries by the release wait.
     parsed.settings.release_wait += to_duration(socket_slack_ms);
     (void)CallController(parsed.settings, 0);  // checks what parse_settings() does not
--- a/src/config/site_diff.cpp
+++ b/src/config/site_diff.cpp
@@ -149,7 +149,7 @@
                       compare_duration("class", subject, "give_up", a.give_up_after, b.give_up_after, true);
                     });
     if (!before_.has_enum_frontend || !after_.has_enum_frontend) return;
-    // Compares the class that each prefix resolves to, not the list in which it stands.
+    // Compares the class that each prefix resolves to, not the classes' lists of prefixes.
     std::set<std::string> prefixes{""};
     for (const auto& each : before_.class_prefixes) prefixes.insert(each.prefix);
     for (const auto& each : after_.class_prefixes) prefixes.insert(each.prefix);
@@ -311,7 +311,7 @@
     bool moves_first_choice = false;  ///< first choices go to other pools or in other shares
   };
 
-  /// Cached, because many prefixes change between the same routes.
+  /// Returns a cached description, because many prefixes change between the same routes.
   const Effect& effect(const Route* route_before, const Route* route_after) {
     constexpr auto no_route = std::pair(no_index, no_index);
     const auto key_of = [&](const Route* route) {
--- a/src/config/site_reader.cpp
+++ b/src/config/site_reader.cpp
@@ -618,7 +618,7 @@
     out.uses_pools = true;
     out.controller_count = read_count(node, "routers", 1, 1000000, 1);
     out.attempt_limit = read_count(node, "attempts", 1, max_attempts_per_request, max_attempts_per_request);
-    // Must hold: the release wait includes the socket slack, because all time limits on sockets are longer by
+    // Invariant: the release wait includes the socket slack, because all time limits on sockets are longer by
     // it and the module plans its retries by the release wait.
     out.release_wait =
         to_duration(read_duration(node, "release_wait", 0, 60 * second_ms, 0) + socket_slack_ms);
--- a/src/config/sources.cpp
+++ b/src/config/sources.cpp
@@ -215,7 +215,7 @@
   char* found = ::realpath(path.c_str(), nullptr);
   if (found == nullptr) return path;
   std::string out = found;
-  std::free(found);  // NOLINT: realpath's own
+  std::free(found);  // NOLINT: allocated by realpath()
   return out;
 }
 
--- a/src/core/router.cpp
+++ b/src/core/router.cpp
@@ -329,7 +329,8 @@
     for (auto& [id, entry] : exchanges_) entry.state = ExchangeState::gone;
   }
   for (const auto& entry : update.entries) exchanges_[entry.exchange] = entry;
-  // Replaced exchanges get new ids, so that the map would grow without limit. Unlisted ones count as gone.
+  // Replaced exchanges get new ids, so the map would otherwise grow without limit. Unlisted ones count as
+  // gone.
   std::erase_if(exchanges_, [](const auto& each) { return each.second.state == ExchangeState::gone; });
   process_event(update);
 }
--- a/src/core/router.hpp
+++ b/src/core/router.hpp
@@ -154,7 +154,7 @@
     Handle attempt = no_handle;    ///< the one in flight, or that established the call
     std::uint32_t attempts = 0;
     bool established = false;
-    bool answered = false;  ///< no final answer is owed any more
+    bool answered = false;  ///< the final answer was given, or the caller left
   };
 
   void process_event(maddershed::Event event);
--- a/src/decide.cpp
+++ b/src/decide.cpp
@@ -39,15 +39,16 @@
 // maximum.
 constexpr Duration min_sample_lifetime = 1s;
 constexpr Duration max_sample_lifetime = 5s;
-constexpr double max_assessments_per_sample = 4;      // that one sample may stand for after a gap
+constexpr double max_assessments_per_sample = 4;      // that one sample counts for after a gap
 constexpr double slow_growth_gap_seconds = 0.12;      // between own calls; above this f grows more slowly
-constexpr double min_growth_calls_per_second = 0.4;   // own calls; below this f grows no slower still
+constexpr double min_growth_calls_per_second = 0.4;   // own calls; lower rates slow the growth no more
 constexpr double messages_per_call = 4;               // at a processor: look-up, set-up, answer, release
 constexpr double delay_smoothing = 0.3;               // of the measured set-up delay
 constexpr double target_delay_objective_share = 0.4;  // target delay as a share of the shortest objective
 constexpr double full_processor_rho = 1.3;            // sample for a processor that refused a set-up as full
 constexpr double min_window_set_ups = 1;              // unanswered set-ups always allowed to one processor
-// The same over all far processors together: all of them wait for the own processor as well.
+// Unanswered set-ups always allowed to all far processors together. They are limited together because all of
+// them wait for the own processor as well.
 constexpr double min_own_window_set_ups = 4;
 constexpr double window_factor = 1.1;  // window in units of the set-ups answered within the target delay
 // Overdue set-ups in a row that count as overload of one processor while the others answer promptly.
@@ -67,7 +68,8 @@
 constexpr Duration max_tandem_pause = 32s;
 constexpr double tandem_success_smoothing = 0.1;  // of a tandem's share of successful calls
 constexpr std::uint32_t max_tandem_attempts = 2;  // for one call whose direct group exists
-// Errors of one call that are answered with another attempt; after the next one the call itself is unusable.
+// Errors of one call that lead to another attempt. After one more, the call itself is taken to be the cause,
+// and it fails.
 constexpr std::uint32_t max_errors_retried = 1;
 // An unanswered set-up is stuck after this many target delays, or after 1 where answers are prompt.
 constexpr double stuck_after_target_delays = 3;
@@ -214,7 +216,8 @@
   if (!far.latest_is_report || far.samples.empty()) {
     far.add_sample(rho_thresh * std::min(2.0, seconds(elapsed) / health.target_delay_seconds), false, now);
   }
-  // Repeats of a set-up that waited are load as well: without them alpha_thresh would fall in a storm.
+  // Repeats of a set-up that waited are load as well: without them alpha_thresh would fall when many set-ups
+  // are repeated.
   if (health.resend_after > Duration{0}) {
     const double repeats = std::floor(std::log2(seconds(elapsed) / seconds(health.resend_after) + 1));
     for (int i = 0; i < static_cast<int>(std::min(repeats, 8.0)); ++i) far.sent.insert(now);
@@ -565,7 +568,7 @@
     if (call.attempts >= attempt_limit(call) || now_ < call.not_before) return false;
     const double share = window_share(call) * (direct->f < throttled_below_f ? throttled_window_share : 1);
     const bool direct_accepts = accepts_set_up(*direct, share, call.offer.in_transit);
-    // In a mesh every route ends at this processor.
+    // In a mesh every route, also one through a tandem, ends at the destination's processor.
     if (!direct_accepts && !settings_.uses_pools) return false;
     const double reserved = call.offer.in_transit ? direct->reserved_circuits(call.offer.circuits) : 0;
     const bool has_circuit =
@@ -716,8 +719,8 @@
       }
       far.entry = entry;
     }
-    // Machines are replaced by ones with new ids all the time: an exchange that is gone and owes no answer is
-    // removed.
+    // Machines are replaced by ones with new ids all the time: an exchange that is gone and has no unanswered
+    // set-up is removed.
     std::erase_if(far_exchanges_, [](const auto& each) {
       return each.second.entry.state == ExchangeState::gone && each.second.unanswered.empty();
     });
@@ -754,8 +757,8 @@
 
   /// Sets the call's kind, the time of the caller's first try, and how long the call may be held. A call
   /// whose objective has nearly passed since the first try is late: a kind of its own, with its late worth.
-  /// An unmarked redial is recognised as a call to a number that was refused recently. Known fault: another
-  /// caller of the same number shortly after a refusal is taken for a redial.
+  /// An unmarked redial is recognised as a call to a number that was refused recently. Known limitation:
+  /// another caller of the same number shortly after a refusal is taken for a redial.
   void classify(Call& call) {
     const auto& class_settings = settings_.classes[call.offer.traffic_class];
     call.first_arrived = now_;
@@ -768,8 +771,8 @@
     } else if (call.offer.redialled) {
       call.first_arrived = now_ - class_settings.set_up_objective;
     } else {
-      // First tries of a class all start with the same time left; what is missing from it, the call has spent
-      // waiting for this controller to process it.
+      // First tries of a class all start with the same time left. A call that has less of it has spent the
+      // difference waiting for this controller to process it.
       auto& longest = longest_time_left_[call.offer.traffic_class];
       longest = std::max(longest, call.offer.time_left);
       call.first_arrived = now_ - (longest - call.offer.time_left);
--- a/src/enum/dns.cpp
+++ b/src/enum/dns.cpp
@@ -96,8 +96,8 @@
   for (std::size_t i = width; i-- > 0;) out.push_back(static_cast<char>(value >> (8 * i)));
 }
 
-/// Where names stand in the data of a record type whose names may be compressed: their number, and the number
-/// of bytes before them.
+/// Layout of the data of a record type whose names may be compressed: the number of names, and the number of
+/// bytes before them.
 struct NameLayout {
   std::size_t prefix_bytes = 0;
   std::size_t name_count = 0;
@@ -131,7 +131,7 @@
   return out + in.read_name();
 }
 
-/// Fails `in` when the data does not end where its length says. `data_size`: that length.
+/// Reads a record. Fails `in` when the data does not end where its length says. `data_size`: that length.
 Record read_record(MessageReader& in, std::size_t& data_size) {
   Record record;
   record.name = in.read_name();
--- a/src/enum/enum_backend.cpp
+++ b/src/enum/enum_backend.cpp
@@ -86,7 +86,8 @@
   return std::min(own_free, pool.max_in_flight - std::min(pool.max_in_flight, pool.in_flight));
 }
 
-/// Reports the circuit group to a server: its circuits are the look-ups that it may have in flight for us.
+/// Tells the router the state of the circuit group to a server. Its circuits are the look-ups that this
+/// program may have in flight there.
 void EnumBackend::report_group(ExchangeId exchange) {
   const auto it = servers_.find(exchange);
   if (it == servers_.end()) return;
--- a/src/enum/enum_service.hpp
+++ b/src/enum/enum_service.hpp
@@ -33,7 +33,7 @@
   [[nodiscard]] bool deregistering() const override;
 
  private:
-  /// A configuration that a thread of its own loads: files may be large and the disk slow.
+  /// A configuration that a separate thread loads, because files may be large and the disk slow.
   struct PendingLoad {
     std::atomic<bool> done{false};
     std::shared_ptr<const EnumConfig> config;
--- a/src/log/event_log.cpp
+++ b/src/log/event_log.cpp
@@ -53,7 +53,7 @@
 
 namespace {
 
-/// Writes whole lines to a file descriptor. Write errors are ignored: an unreadable log must not end the
+/// Writes whole lines to a file descriptor. Write errors are ignored: an unwritable log must not end the
 /// program.
 template <typename Count>
 class DescriptorSink : public spdlog::sinks::base_sink<spdlog::details::null_mutex> {
--- a/src/platform/platform_service.cpp
+++ b/src/platform/platform_service.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr double readiness_timeout_ms = 1500;  // ready even if a converter has not reported its state
+constexpr double readiness_timeout_ms = 1500;  // then ready even if a converter has not reported its state
 
 }  // namespace
 
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -114,7 +114,7 @@
   EXPECT_THROW((void)decode(decoder, 2, bytes_from_hex("78 03000000 c8")), WireError);       // unknown code
   EXPECT_THROW((void)decode(decoder, 1, bytes_from_hex("46 4d00000000000000")), WireError);  // no instance
   EXPECT_THROW((void)decode(decoder, 1, bytes_from_hex("6e 00000000 ffffffff 074a1203")),
-               WireError);                                                                    // false count
+               WireError);                                                                    // huge count
   EXPECT_THROW((void)decode(decoder, 1, bytes_from_hex("6e 10000000 00000000")), WireError);  // list number
 }
 
--- a/tests/decide_test.cpp
+++ b/tests/decide_test.cpp
@@ -402,8 +402,8 @@
 }
 
 TEST(LostAnswers, OneOverdueSetUpDoesNotThrottleAProcessorWhileOthersArePrompt) {
-  // All the overdue set-ups are sent. After one, plain calls are still sent at once; after two, they are
-  // throttled.
+  // The set-ups that become overdue are all sent. After one of them, the next call is still sent at once;
+  // after two, it is throttled.
   const auto sent_after_overdue = [](int overdue_set_ups) {
     Driver driver;
     std::uint64_t id = 0;
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -1,4 +1,4 @@
-// Width of the decision module's source lines.
+// Checks that the lines of the decision module's source are at most 110 columns wide.
 #include <gtest/gtest.h>
 
 #include <algorithm>
--- a/tests/router/appliance_test.cpp
+++ b/tests/router/appliance_test.cpp
@@ -1,4 +1,4 @@
-// The Eureka client, with a registry that the test plays, and the operator's console.
+// Tests of the Eureka client, whose registry the test acts as, and of the operator's console.
 #include <sys/stat.h>
 
 #include "enum_fixture.hpp"
--- a/tests/router/codec_test.cpp
+++ b/tests/router/codec_test.cpp
@@ -139,7 +139,7 @@
 
 TEST_CASE("a registry's list, its changes and its statuses") {
   EurekaInstances list;
-  list.apply_full(listed("UP_1_", instance("a", "UP")));  // one instance may stand without a list
+  list.apply_full(listed("UP_1_", instance("a", "UP")));  // a list of one may be a bare object
   REQUIRE(list.converters("ns").size() == 1);
   const auto a = list.converters("ns")[0];
   CHECK(a.name == "a");
--- a/tests/router/platform_test.cpp
+++ b/tests/router/platform_test.cpp
@@ -331,7 +331,7 @@
       ++attempts;
       CHECK_FALSE(attempt_open);
       if (attempt_ended_ms > 0)
-        CHECK(now_ms() - attempt_ended_ms >= 345);  // the guard and the slack, minus the delay of this test
+        CHECK(now_ms() - attempt_ended_ms >= 345);  // release wait and socket slack, less this test's delay
     } else {
       attempt_ended_ms = now_ms();
     }
